--- a/currantdeal/policy/__init__.py
+++ b/currantdeal/policy/__init__.py
@@ -1,4 +1,11 @@
-"""Decisions under load, without network, threads or clocks."""
+"""Scheduling decisions under load, without network, threads or clocks.
+
+An entry is the instance that accepts and serves a request.  The home of an
+upstream is the instance that keeps the ledger of its reservations.  Engine
+memory is counted in pieces of fixed size.  Goodput is the rate of requests
+answered within the latency targets for first output and for the time between
+outputs.
+"""
 
 from currantdeal.policy.admission import (
     Admission,
@@ -17,8 +24,12 @@
     LedgerRefusal,
 )
 from currantdeal.policy.lengths import OutputLengths
-from currantdeal.policy.load_view import Load, LoadView
-from currantdeal.policy.outliers import SlowUpstreams, Standing, slow_group
+from currantdeal.policy.load_view import LoadEstimate, LoadView
+from currantdeal.policy.outliers import (
+    SlownessStats,
+    SlowUpstreams,
+    slow_group,
+)
 from currantdeal.policy.placement import Choice, Placement
 from currantdeal.policy.plans import GiveUp, Plan, Pools, Wait
 from currantdeal.policy.prefixes import BLOCK_TOKENS, PrefixHints
@@ -42,7 +53,7 @@
     "LedgerGrant",
     "LedgerLimits",
     "LedgerRefusal",
-    "Load",
+    "LoadEstimate",
     "LoadView",
     "OutputLengths",
     "Placement",
@@ -55,7 +66,7 @@
     "RetryDecision",
     "Scheduler",
     "SlowUpstreams",
-    "Standing",
+    "SlownessStats",
     "StartRate",
     "UserWeights",
     "Wait",
--- a/currantdeal/policy/admission.py
+++ b/currantdeal/policy/admission.py
@@ -1,17 +1,19 @@
-"""Admission: refuse at once what could not be answered in time.
-
-The load pattern is overload that lasts.  Without admission the queue grows
-until everything in it is late: engines stay busy, and hardly an answer is
-within its target.  A request that will be late is worth nothing, so it is
-refused before it costs anything, and the refusal says when to come back.
-
-The time to first output is predicted as the wait for what stands ahead, at
-the rate at which this instance lately got work started, plus the time of the
-request's own prefill, transfer and first step.  The rate is smoothed over
-about two seconds, which is several prefills.  A margin of a tenth covers the
-spread of step times; with more caution the margin grows to a quarter.  The
-queue is bounded in seconds of engine time, not in requests, because prompts
-differ by three orders of magnitude.
+"""Refuse requests on arrival that could not be answered before their deadline.
+
+Load pattern: sustained overload.  Without admission control the queue grows
+until every request in it misses its deadline: engines stay busy while hardly
+any answer arrives in time.  A late answer is worth nothing to its caller, so
+the request is refused before it costs anything, and the refusal says when to
+retry.
+
+The time to first output is predicted as the time to work off the queue ahead,
+at the rate at which this instance recently started work, plus the time of the
+request's own prefill, transfer and first decode step.  The rate is smoothed
+over about two seconds, which is several prefills.  A margin of a tenth of the
+time left covers the variation of step times; it grows to a quarter for users
+who give all weight to wasted prefill.  The queue is limited in seconds of
+engine time instead of requests, because prompt lengths differ by three orders
+of magnitude.
 """
 
 from dataclasses import dataclass
@@ -20,7 +22,9 @@
 
 SMOOTHING_S = 2.0
 MIN_MARGIN = 0.10
-CAUTIOUS_MARGIN = 0.15
+EXTRA_MARGIN = 0.15
+"""Added in proportion to the weight of wasted prefill."""
+
 MAX_QUEUED_S = 60.0
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 30.0
@@ -28,21 +32,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Admitted:
-    """The work may wait; its first output is predicted after some seconds."""
+    """The work is queued.
+
+    Parameters
+    ----------
+    predicted_s : float
+        Predicted time to first output, in seconds.
+    """
 
     predicted_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The work is refused, ``not-run``.
+    """The work is refused before it ran (``not-run``).
 
     Parameters
     ----------
     reason : str
-        Why, for the refusal's text.
+        Reason, for the text of the refusal.
     retry_after_s : float
-        Seconds after which it could be accepted.
+        Seconds after which a retry may be accepted.
     """
 
     reason: str
@@ -50,7 +60,7 @@
 
 
 class StartRate:
-    """Engine time of work that an instance gets started each second.
+    """Engine time of the work that an instance starts in a second, smoothed.
 
     Examples
     --------
@@ -61,24 +71,24 @@
     """
 
     def __init__(self, *, initial=1.0):
-        """Start from a guess, such as the number of matching engines."""
+        """Start with an estimate, such as the number of matching engines."""
         self._per_s = initial
         self._since_s = None
         self._cost_s = 0.0
 
     @property
     def per_s(self):
-        """Engine time started a second, smoothed."""
+        """Engine time started per second, smoothed."""
         return self._per_s
 
     def record(self, *, cost_s, now_s, waiting):
-        """Take in a start.
+        """Record that work was started.
 
         Parameters
         ----------
         waiting : bool
-            Whether other work waited; a start without a queue says nothing
-            of the greatest rate.
+            Whether other work was queued.  A start with an empty queue gives
+            no information on the maximum rate.
         """
         if self._since_s is None or not waiting:
             self._since_s = now_s
@@ -88,23 +98,23 @@
         elapsed_s = now_s - self._since_s
         if elapsed_s < SMOOTHING_S / 8:
             return
-        share = min(1.0, elapsed_s / SMOOTHING_S)
-        self._per_s += share * (self._cost_s / elapsed_s - self._per_s)
+        smoothing = min(1.0, elapsed_s / SMOOTHING_S)
+        self._per_s += smoothing * (self._cost_s / elapsed_s - self._per_s)
         self._since_s = now_s
         self._cost_s = 0.0
 
 
 class Admission:
-    """Admits or refuses work at one instance.
+    """Admission control of one instance.
 
     Parameters
     ----------
     rng : random.Random
-        Spreads the times at which refused callers come back.
+        Source of the jitter of retry times.
     weights : UserWeights
-        More weight on waste widens the margin.
+        More weight on wasted prefill widens the margin.
     max_queued_s : float
-        Engine time that may wait, in seconds.
+        Limit of the queue, in seconds of engine time.
 
     Examples
     --------
@@ -119,9 +129,9 @@
     def __init__(
         self, *, rng, weights=EVEN_WEIGHTS, max_queued_s=MAX_QUEUED_S
     ):
-        """Keep the settings."""
+        """Store the settings."""
         self._rng = rng
-        self._margin = MIN_MARGIN + CAUTIOUS_MARGIN * weights.caution
+        self._margin = MIN_MARGIN + EXTRA_MARGIN * weights.waste_weight_share
         self._max_queued_s = max_queued_s
 
     def decide(
@@ -141,34 +151,37 @@
         time_left_s : float
             Seconds until the deadline.
         cost_ahead_s : float
-            Engine time that is served before, in seconds.
+            Engine time of the work that is served before it, in seconds.
         cost_s : float
-            Engine time of the work itself, in seconds.
+            Engine time of the work, in seconds.
         queued_s : float
-            Engine time of all that waits, in seconds.
+            Engine time of all queued work, in seconds.
         rate_per_s : float
-            Engine time started a second.
+            Engine time started per second.
         path_s : float
-            Time of prefill, transfer and first step once started, seconds.
+            Time from start to first output (prefill, transfer and first
+            step), in seconds.
         """
         wait_s = cost_ahead_s / max(rate_per_s, 1e-6)
         predicted_s = wait_s + path_s
         if queued_s + cost_s > self._max_queued_s:
-            over_s = queued_s + cost_s - self._max_queued_s
-            return self._refuse("the queue is full", over_s / rate_per_s)
+            excess_s = queued_s + cost_s - self._max_queued_s
+            return self._refuse("the queue is full", excess_s / rate_per_s)
         if predicted_s > time_left_s * (1.0 - self._margin):
             return self._refuse(
                 "the deadline cannot be met", predicted_s - time_left_s
             )
         return Admitted(predicted_s=predicted_s)
 
-    def give_up(self, *, wait_s):
-        """Return ``Refused`` for work that waited and cannot be in time."""
+    def refuse_expired(self, *, wait_s):
+        """Return ``Refused`` for queued work that will miss its deadline."""
         return self._refuse("the deadline can no longer be met", wait_s)
 
-    def _refuse(self, reason, after_s):
-        bounded_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, after_s))
-        # Callers refused together would come back together; the spread keeps
-        # the end of an overload from becoming the next burst.
-        spread_s = bounded_s * self._rng.uniform(1.0, 1.5)
-        return Refused(reason=reason, retry_after_s=spread_s)
+    def _refuse(self, reason, retry_after_s):
+        bounded_s = min(
+            MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s)
+        )
+        # Jitter: callers that are refused together would retry together, so
+        # that the end of an overload would cause the next burst.
+        jittered_s = bounded_s * self._rng.uniform(1.0, 1.5)
+        return Refused(reason=reason, retry_after_s=jittered_s)
--- a/currantdeal/policy/batch_limit.py
+++ b/currantdeal/policy/batch_limit.py
@@ -1,29 +1,30 @@
-"""How many streams an engine may decode at a time.
+"""Limit how many streams an engine decodes at a time.
 
-The load pattern is many short requests: they need little memory, so memory
-alone lets so many of them into one batch that every stream on the engine
-misses its target between outputs.  Nothing is refused and nothing is in time.
+Load pattern: many short requests.  They need little memory, so memory alone
+admits so many of them into one batch that every stream on the engine misses
+its target for the time between outputs, while nothing is refused.
 
-A decode step takes a fixed time plus some for each stream.  Both are learned
-from the engine's own reports by a straight line through (streams, step time),
-where older reports count less: a twentieth less with each, so about twenty
-reports or ten seconds count.  A tenth of the target is left for the scatter
-of steps.  As long as reports tell no line, because the batch did not vary,
-there is no limit unless the last step was over the target.
+A decode step takes a fixed time plus some time for each stream.  Both are
+fitted to the engine's reports by linear regression of step time on streams.
+The weight of a report decreases by a twentieth with each newer one, so about
+the last twenty reports, or ten seconds, count.  A tenth of the target is left
+for the variation of step times.  As long as there is no fit, because the batch
+size did not vary, there is no limit unless the last step was over the
+target.
 """
 
-MARGIN = 0.9
-KEPT = 0.95
+TARGET_SHARE = 0.9
+REPORT_DECAY = 0.95
 MIN_VARIANCE = 0.5
 
 
 class BatchLimit:
-    """Learns the greatest batch that keeps the target between outputs.
+    """Estimates the largest batch that meets the target between outputs.
 
     Parameters
     ----------
     target_s : float
-        Longest time between outputs, in seconds; 0 for no limit.
+        Target for the time between outputs, in seconds; 0 for no limit.
 
     Examples
     --------
@@ -37,46 +38,48 @@
 
     def __init__(self, *, target_s):
         """Start without a limit."""
-        self._target_s = target_s * MARGIN
+        self._target_s = target_s * TARGET_SHARE
         self._weight = 0.0
         self._sum_n = self._sum_s = 0.0
         self._sum_nn = self._sum_ns = 0.0
         self._last = (0, 0.0)
 
     def observe(self, *, running, step_s):
-        """Take in a report: streams in the batch and time of one step."""
+        """Record a report: streams in the batch and time of one step."""
         if running <= 0 or step_s <= 0:
             return
         self._last = (running, step_s)
-        self._weight = self._weight * KEPT + 1.0
-        self._sum_n = self._sum_n * KEPT + running
-        self._sum_s = self._sum_s * KEPT + step_s
-        self._sum_nn = self._sum_nn * KEPT + running * running
-        self._sum_ns = self._sum_ns * KEPT + running * step_s
+        self._weight = self._weight * REPORT_DECAY + 1.0
+        self._sum_n = self._sum_n * REPORT_DECAY + running
+        self._sum_s = self._sum_s * REPORT_DECAY + step_s
+        self._sum_nn = self._sum_nn * REPORT_DECAY + running * running
+        self._sum_ns = self._sum_ns * REPORT_DECAY + running * step_s
 
     @property
     def streams(self):
-        """Streams that keep the target, at least 1; infinite if unknown."""
+        """Limit of streams, at least 1; infinite if unknown."""
         if self._target_s <= 0 or not self._weight:
             return float("inf")
-        line = self._line()
-        if line is None:
-            return self._by_last_report()
-        fixed_s, each_s = line
-        return max(1, int((self._target_s - fixed_s) / each_s + 1e-9))
+        fit = self._fit()
+        if fit is None:
+            return self._limit_by_last_report()
+        fixed_s, per_stream_s = fit
+        return max(1, int((self._target_s - fixed_s) / per_stream_s + 1e-9))
 
-    def _line(self):
+    def _fit(self):
         mean_n = self._sum_n / self._weight
         mean_s = self._sum_s / self._weight
         variance = self._sum_nn / self._weight - mean_n**2
         if variance < MIN_VARIANCE:
             return None
-        each_s = (self._sum_ns / self._weight - mean_n * mean_s) / variance
-        if each_s <= 0:
+        per_stream_s = (
+            self._sum_ns / self._weight - mean_n * mean_s
+        ) / variance
+        if per_stream_s <= 0:
             return None
-        return mean_s - each_s * mean_n, each_s
+        return mean_s - per_stream_s * mean_n, per_stream_s
 
-    def _by_last_report(self):
+    def _limit_by_last_report(self):
         running, step_s = self._last
         if step_s <= self._target_s:
             return float("inf")
--- a/currantdeal/policy/estimates.py
+++ b/currantdeal/policy/estimates.py
@@ -1,40 +1,47 @@
-"""What a piece of work will probably take.
-
-The load pattern is a queue whose length in requests says nothing: one prompt
-costs as much as a hundred others.  Admission, fairness and reservations need
-the cost of work before it runs, or they would count a catalogue like a
-greeting.
-
-Before anything is measured a decode step is taken as 20 ms and prefill as
-8,000 tokens a second, the speed of a mid-sized model on one worker.  The time
-from start to first output is corrected by the smoothed ratio of what it took,
-a tenth of each new one, at most four times.  Memory is reserved for the length
-within which 70% of a caller's answers end, and up to 90% for users who weigh
-waste.  The margin before a start is explained in ``scheduler``.
+"""Estimate the cost and duration of work before it runs.
+
+Load pattern: requests of very different cost.  One prompt costs as much as a
+hundred others, so the number of queued requests says nothing about load.
+Admission, fair queueing and reservations therefore need the cost of work in
+advance; without it a whole catalogue would count as much as a greeting.
+
+Without measurements a decode step is assumed to take 20 ms and prefill to
+process 8,000 tokens a second, the speeds of a mid-sized model on one worker.
+The time from start to first output is corrected by the smoothed ratio of
+actual to estimated time; an observation is capped at a ratio of four and has a
+weight of a tenth.  Memory is reserved for the output length that 70% of a
+caller's answers do not exceed, or up to 90% for users who give more weight to
+wasted prefill.  The safety margin before a start is explained in
+``scheduler``.
 """
 
 from currantdeal.policy.weights import EVEN_WEIGHTS
 
-STEP_S = 0.02
-PREFILL_TOKENS_PER_S = 8_000.0
+DEFAULT_STEP_S = 0.02
+DEFAULT_PREFILL_TOKENS_PER_S = 8_000.0
 PREFILL_BASE_S = 0.01
 MIN_QUANTILE = 0.7
-CAUTIOUS_QUANTILE = 0.2
+EXTRA_QUANTILE = 0.2
+"""Added in proportion to the weight of wasted prefill."""
+
 MIN_START_MARGIN = 0.1
-CAUTIOUS_START_MARGIN = 0.2
+EXTRA_START_MARGIN = 0.2
+"""Added in proportion to the weight of wasted prefill."""
+
 RATIO_SMOOTHING = 0.1
 MAX_RATIO = 4.0
 
 
 class Estimates:
-    """Costs and times of work, learned as it runs.
+    """Estimates of cost and duration, updated as work runs.
 
     Parameters
     ----------
     lengths : OutputLengths
-        How long answers were.
+        Distribution of output lengths.
     weights : UserWeights
-        More weight on waste reserves more and starts less late.
+        More weight on wasted prefill reserves more memory and widens the
+        margin before a start.
 
     Examples
     --------
@@ -49,50 +56,50 @@
     """
 
     def __init__(self, *, lengths, weights=EVEN_WEIGHTS):
-        """Start with the usual speeds."""
-        caution = weights.caution
+        """Start with the default speeds."""
+        waste_share = weights.waste_weight_share
         self._lengths = lengths
-        self._quantile = MIN_QUANTILE + CAUTIOUS_QUANTILE * caution
-        self._start_margin = (
-            1.0 + MIN_START_MARGIN + CAUTIOUS_START_MARGIN * caution
+        self._quantile = MIN_QUANTILE + EXTRA_QUANTILE * waste_share
+        self._start_factor = (
+            1.0 + MIN_START_MARGIN + EXTRA_START_MARGIN * waste_share
         )
         self._path_ratio = 1.0
 
     def reserved_tokens(self, work):
         """Return the output tokens to reserve memory for."""
-        return self._expected(work, self._quantile)
+        return self._expected_tokens(work, self._quantile)
 
     def hold_s(self, work, step_s):
-        """Return how long decode memory will be held, in seconds."""
-        return self._expected(work, 0.5) * (step_s or STEP_S)
+        """Return the expected time that decode memory is held, in seconds."""
+        return self._expected_tokens(work, 0.5) * (step_s or DEFAULT_STEP_S)
 
     def cost_s(self, work):
-        """Return the time of prefill and decode together, in seconds."""
-        prefill_s = work.prompt_tokens / PREFILL_TOKENS_PER_S
-        return prefill_s + self.hold_s(work, STEP_S)
+        """Return the engine time of prefill and decode, in seconds."""
+        prefill_s = work.prompt_tokens / DEFAULT_PREFILL_TOKENS_PER_S
+        return prefill_s + self.hold_s(work, DEFAULT_STEP_S)
 
     def path_s(self, work):
-        """Return the time from start to first output, in seconds."""
-        return self._path_ratio * _ideal_path_s(work)
+        """Return the expected time from start to first output, in seconds."""
+        return self._path_ratio * _unloaded_path_s(work)
 
-    def is_late(self, work, now_s):
+    def would_miss_deadline(self, work, now_s):
         """Return whether work that starts now would miss its deadline."""
-        return now_s + self.path_s(work) * self._start_margin > (
+        return now_s + self.path_s(work) * self._start_factor > (
             work.deadline_s
         )
 
-    def learn_path(self, work, path_s):
-        """Learn from the time between start and first output, in seconds."""
-        ratio = min(MAX_RATIO, path_s / _ideal_path_s(work))
+    def observe_path(self, work, path_s):
+        """Record the time between start and first output, in seconds."""
+        ratio = min(MAX_RATIO, path_s / _unloaded_path_s(work))
         self._path_ratio += RATIO_SMOOTHING * (ratio - self._path_ratio)
 
-    def learn_output(self, work, tokens):
-        """Learn from the length of a whole answer."""
+    def observe_output(self, work, tokens):
+        """Record the length of a complete answer."""
         self._lengths.observe(
             caller=work.caller, kind=work.kind, tokens=tokens
         )
 
-    def _expected(self, work, quantile):
+    def _expected_tokens(self, work, quantile):
         return self._lengths.expected(
             caller=work.caller,
             kind=work.kind,
@@ -101,10 +108,10 @@
         )
 
 
-def usual_prefill_s(tokens):
-    """Return the time of a prefill that has a usual engine to itself."""
-    return PREFILL_BASE_S + tokens / PREFILL_TOKENS_PER_S
+def unloaded_prefill_s(tokens):
+    """Return the time of a prefill on an unloaded engine of default speed."""
+    return PREFILL_BASE_S + tokens / DEFAULT_PREFILL_TOKENS_PER_S
 
 
-def _ideal_path_s(work):
-    return work.prompt_tokens / PREFILL_TOKENS_PER_S + STEP_S
+def _unloaded_path_s(work):
+    return work.prompt_tokens / DEFAULT_PREFILL_TOKENS_PER_S + DEFAULT_STEP_S
--- a/currantdeal/policy/ledger.py
+++ b/currantdeal/policy/ledger.py
@@ -1,29 +1,29 @@
-"""The ledger of one upstream, kept by its home.
-
-The load pattern is a peak at which decode memory is nearly full.  Entries
-that each see lagged load send more prefills than the decode engine can take
-up; their results expire within a second and the prefill is thrown away.  The
-ledger is the one place where an engine's memory, its link and its prefill
-time are given out, and it gives decode memory out before the prefill starts.
-
-For a decode engine it keeps pieces of memory, and a reservation is granted
-only when they are free now.  Booking ahead on memory that streams are
-expected to give back was measured and dropped: output lengths scatter too
-much, and at 1.5 times capacity a tenth of all prefills was wasted for no more
-goodput.  Nor is memory kept back for streams that grow past what was
-expected: keeping a twentieth or a tenth lowered goodput at capacity.
-
-The number of streams is bounded too, so that a batch of many small requests
-keeps the target between outputs.
-
-For a prefill engine it keeps the time at which its queue of prefills ends,
-and grants with the time until the own one may start.  A link is busy until
-the last granted transfer ends.  Only a fifth of a second is granted ahead of
-either, because decode memory is idle while its prefill waits; work waits in
-the entries' queues instead, where its order can still change.
-
-Grants are kept by entry.  An entry that is silent beyond its lease loses all
-of them, and the home cancels their requests on the engine.
+"""Ledger of the reservations on one upstream, kept by its home instance.
+
+Load pattern: peak load with decode memory nearly full.  Entries see load
+reports with a lag, so together they start more prefills than the decode engine
+can accept; the results expire within a second and the prefills are wasted.
+The ledger is the single place that grants an engine's memory, link time and
+prefill time, and it grants decode memory before the prefill starts.
+
+For a decode engine it counts pieces of memory, and grants a reservation only
+if they are free now.  It does not count on memory that running streams are
+expected to release: output lengths vary too much, and at 1.5 times capacity
+such booking ahead wastes a tenth of all prefills without more goodput.  Nor
+does it keep memory in reserve for streams that outgrow their reservation,
+because a reserve of a twentieth or a tenth lowers goodput at capacity.
+
+The number of streams is limited too, so that a batch of many small requests
+still meets the target for the time between outputs.
+
+For a prefill engine it keeps the time at which the queue of granted prefills
+ends; a grant says how long the new prefill has to wait.  A link is busy until
+the last granted transfer ends.  At most a fifth of a second of either is
+granted ahead, because decode memory is idle while its prefill waits; further
+work waits in the queues of the entries, where it can still be reordered.
+
+Grants belong to an entry.  When an entry's lease expires, all of its grants
+are released, and the home cancels their requests on the engine.
 """
 
 from dataclasses import dataclass, replace
@@ -40,18 +40,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LedgerLimits:
-    """What an upstream has to give.
+    """Capacity of an upstream.
 
     Parameters
     ----------
     pieces_total : int
-        Pieces of memory for decoding.
+        Pieces of decode memory.
     prefill_tokens_per_s : float
         Rate of prefill; 0 on an engine that only decodes.
     link_bytes_per_s : float
-        Rate of its link; 0 when there is none to share.
+        Rate of its link; 0 if there is none to share.
     output_gap_s : float
-        Longest time between outputs, in seconds; 0 for no bound.
+        Target for the time between outputs, in seconds; 0 for no limit.
     max_backlog_s : float
         Prefill time and link time that may be granted ahead, in seconds.
     """
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ask:
-    """What a request wants to reserve.
+    """Resources to reserve for a request.
 
     Parameters
     ----------
@@ -76,11 +76,11 @@
     prefill_tokens : int
         Prompt tokens to compute, without those expected to be cached.
     kv_bytes : int
-        Bytes that the link will carry.
+        Bytes to transfer over the link.
     hold_s : float
         Seconds for which the memory is expected to be held.
     lead_s : float
-        Seconds until the memory is needed, were the grant given now.
+        Seconds from the grant until the memory is needed.
     """
 
     request_id: RequestId
@@ -95,14 +95,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LedgerGrant:
-    """What was reserved.
+    """A granted reservation.
 
     Parameters
     ----------
     start_in_s : float
         Seconds until the reserved work may start.
     ends_s : float
-        Monotonic time at which the memory is expected back.
+        Monotonic time at which the memory is expected to be released.
     """
 
     ask: Ask
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LedgerRefusal:
-    """Nothing was reserved; it may work after some seconds."""
+    """Nothing was reserved; a retry may succeed after ``retry_after_s``."""
 
     retry_after_s: float
 
@@ -124,7 +124,7 @@
     Parameters
     ----------
     limits : LedgerLimits
-        What the upstream has.
+        Capacity of the upstream.
 
     Examples
     --------
@@ -140,55 +140,55 @@
     """
 
     def __init__(self, *, limits):
-        """Start with nothing reserved."""
+        """Create a ledger without reservations."""
         self._limits = limits
         self._grants = {}
         self._stalled = set()
-        self._streams = 0
+        self._stream_count = 0
         self._waiters = Waiters()
-        self._batch = BatchLimit(target_s=limits.output_gap_s)
-        self._used = 0
+        self._batch_limit = BatchLimit(target_s=limits.output_gap_s)
+        self._pieces_used = 0
         self._prefill_until_s = 0.0
         self._link_until_s = 0.0
 
     @property
     def grants(self):
-        """The grants in force, in the order in which they were given."""
+        """The grants in force, oldest first."""
         return tuple(self._grants.values())
 
     @property
     def pieces_free(self):
-        """Pieces not reserved."""
-        return self._limits.pieces_total - self._used
+        """Pieces of memory that are not reserved."""
+        return self._limits.pieces_total - self._pieces_used
 
     def hear(self, *, running, step_s):
-        """Take in the batch and the step time that the engine reported."""
-        self._batch.observe(running=running, step_s=step_s)
+        """Record the batch size and step time that the engine reported."""
+        self._batch_limit.observe(running=running, step_s=step_s)
 
     def reserve(self, ask, *, now_s):
         """Return a ``LedgerGrant`` or a ``LedgerRefusal``.
 
-        A repeated request id gets its grant again, so that a resend after a
-        lost answer reserves nothing twice.
+        A request id that holds a grant gets the same grant again, so that a
+        retry after a lost response does not reserve twice.
         """
-        known = self._grants.get(ask.request_id)
-        if known is not None:
-            return known
+        existing = self._grants.get(ask.request_id)
+        if existing is not None:
+            return existing
         refusal = self._refusal(ask, now_s)
         if refusal is not None:
-            self._waiters.wait(ask.request_id, ask.caller, now_s=now_s)
+            self._waiters.enqueue(ask.request_id, ask.caller, now_s=now_s)
             return refusal
-        self._waiters.leave(ask.request_id)
-        self._waiters.used(ask.caller, self._cost_s(ask), now_s=now_s)
+        self._waiters.remove(ask.request_id)
+        self._waiters.charge(ask.caller, self._cost_s(ask), now_s=now_s)
         backlog_s = self._backlog_s(ask, now_s)
         return self._grant(ask, now_s, backlog_s)
 
     def grow(self, request_id, *, pieces):
-        """Return whether a grant was enlarged.
+        """Enlarge a grant; return whether there was memory for it.
 
-        A stream that gets no more memory waits until others end.  It is not
-        thrown away, because its prefill would be lost with it, and nobody
-        else is granted memory before it.  Ask ``victim`` after a refusal.
+        A stream that gets no more memory waits until other streams end.  It
+        is not cancelled, because its prefill would be wasted, and no new
+        request is granted memory before it.  Call ``victim`` after a refusal.
         """
         grant = self._grants.get(request_id)
         if grant is None:
@@ -197,16 +197,16 @@
             self._stalled.add(request_id)
             return False
         self._stalled.discard(request_id)
-        self._used += pieces
+        self._pieces_used += pieces
         self._grants[request_id] = replace(grant, pieces=grant.pieces + pieces)
         return True
 
     def victim(self):
-        """Return the request to cancel so that others can go on, or None.
+        """Return the request to cancel to end a deadlock, or None.
 
-        When every stream on an engine waits for memory, none will end and
-        the engine stands still for good.  The latest one is given up then,
-        because the least output is lost with it.
+        When every stream on an engine waits for memory, none of them ever
+        ends.  The stream granted last is cancelled then, because it loses the
+        least output.
         """
         holders = [
             name for name, grant in self._grants.items() if grant.pieces
@@ -216,22 +216,22 @@
         return None
 
     def release(self, request_id):
-        """Take a grant back; unknown ones are fine.
+        """Release a grant; an unknown request id has no effect.
 
         Returns
         -------
         LedgerGrant or None
-            The grant that was in force.
+            The grant that was in force, if any.
         """
         grant = self._grants.pop(request_id, None)
         self._stalled.discard(request_id)
         if grant is not None:
-            self._used -= grant.pieces
-            self._streams -= grant.ask.pieces > 0
+            self._pieces_used -= grant.pieces
+            self._stream_count -= grant.ask.pieces > 0
         return grant
 
     def drop_entry(self, entry):
-        """Release and return all grants of an entry that fell silent."""
+        """Release and return all grants of an entry whose lease expired."""
         names = [
             name
             for name, grant in self._grants.items()
@@ -240,17 +240,17 @@
         return tuple(self.release(name) for name in names)
 
     def adopt(self, ask, *, now_s):
-        """Take in a reservation that another home granted before."""
+        """Restore a reservation granted earlier, here or by another home."""
         return self._grant(ask, now_s, 0.0)
 
     def _refusal(self, ask, now_s):
         if ask.pieces and self._is_full(ask.pieces):
-            return _refused(self._memory_wait_s(ask.pieces, now_s))
-        over_s = self._backlog_s(ask, now_s) - self._limits.max_backlog_s
-        if over_s > 0:
-            return _refused(over_s)
+            return _refusal_after(self._memory_wait_s(ask.pieces, now_s))
+        excess_s = self._backlog_s(ask, now_s) - self._limits.max_backlog_s
+        if excess_s > 0:
+            return _refusal_after(excess_s)
         if not self._waiters.is_next(ask.request_id, ask.caller, now_s=now_s):
-            return _refused(0.0)
+            return _refusal_after(0.0)
         return None
 
     def _cost_s(self, ask):
@@ -263,14 +263,14 @@
         return (
             pieces > self.pieces_free
             or bool(self._stalled)
-            or self._streams >= self._batch.streams
+            or self._stream_count >= self._batch_limit.streams
         )
 
     def _memory_wait_s(self, pieces, now_s):
-        usable = self.pieces_free
-        for grant in sorted(self._grants.values(), key=_end):
-            usable += grant.pieces
-            if usable >= pieces:
+        free = self.pieces_free
+        for grant in sorted(self._grants.values(), key=_end_time):
+            free += grant.pieces
+            if free >= pieces:
                 return grant.ends_s - now_s
         return MAX_RETRY_AFTER_S
 
@@ -283,9 +283,9 @@
         return max(prefill_s, link_s)
 
     def _grant(self, ask, now_s, start_in_s):
-        self._book_time(ask, now_s)
-        self._used += ask.pieces
-        self._streams += ask.pieces > 0
+        self._book_prefill_and_link(ask, now_s)
+        self._pieces_used += ask.pieces
+        self._stream_count += ask.pieces > 0
         grant = LedgerGrant(
             ask=ask,
             pieces=ask.pieces,
@@ -295,7 +295,7 @@
         self._grants[ask.request_id] = grant
         return grant
 
-    def _book_time(self, ask, now_s):
+    def _book_prefill_and_link(self, ask, now_s):
         rate = self._limits.prefill_tokens_per_s
         if ask.prefill_tokens and rate > 0:
             start_s = max(now_s, self._prefill_until_s)
@@ -306,10 +306,10 @@
             self._link_until_s = start_s + ask.kv_bytes / rate
 
 
-def _end(grant):
+def _end_time(grant):
     return grant.ends_s
 
 
-def _refused(after_s):
-    bounded_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, after_s))
+def _refusal_after(retry_after_s):
+    bounded_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
     return LedgerRefusal(retry_after_s=bounded_s)
--- a/currantdeal/policy/outliers.py
+++ b/currantdeal/policy/outliers.py
@@ -1,16 +1,17 @@
-"""Slow upstreams, found against their peers.
-
-The load pattern is one engine that got slow without failing.  Load reports
-look harmless and every request sent there misses its target; the slow engine
-even looks attractive, because it has little finished work to report.  Without
-comparison nothing tells a slow engine from a busy system.
-
-An upstream is out when its smoothed slowness (time taken over time predicted)
-is twice the median of its peers: batches of full and empty engines differ by
-less than that, a throttled accelerator by more.  At most a third of a group
-is out at once, because beyond that the comparison says more about the median
-than about the upstream.  After five seconds one probe is let through; it
-comes back when its next observations are within the bound.
+"""Detect slow upstreams by comparison with their peers and eject them.
+
+Load pattern: gray failure.  One engine becomes slow without failing.  Its load
+reports look harmless while every request sent there misses its target; it even
+looks attractive, because it reports little finished work.  Without a
+comparison a slow engine cannot be distinguished from a busy system.
+
+An upstream is ejected when its smoothed slowness (actual over predicted time)
+is more than twice the median of its peers: full and empty engines differ by
+less than that, a throttled accelerator by more.  At most a third of a group is
+ejected at once, because beyond that the comparison says more about the median
+than about the upstream.  After five seconds one request is let through as a
+probe; the upstream is readmitted when its slowness is within the bound again
+after further observations.
 """
 
 from dataclasses import dataclass
@@ -18,38 +19,38 @@
 
 SMOOTHING = 0.2
 SLOW_FACTOR = 2.0
-ENOUGH = 5
-MAX_OUT_SHARE = 1 / 3
+MIN_SAMPLES = 5
+MAX_EJECTED_SHARE = 1 / 3
 MIN_PEERS = 3
-OUT_S = 5.0
+EJECTION_S = 5.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Standing:
-    """What is known of one upstream's speed.
+class SlownessStats:
+    """Slowness of one upstream.
 
     Parameters
     ----------
     slowness : float
-        Smoothed ratio of time taken to time predicted.
+        Smoothed ratio of actual to predicted time.
     samples : int
-        Observations since it was last taken back.
+        Number of observations.
     out_until_s : float
-        Monotonic time of the next probe; 0 when it is not out.
+        Monotonic time of the next probe; 0 if never ejected.
     """
 
     slowness: float
     samples: int
-    out_until_s: float = 0.0
+    ejected_until_s: float = 0.0
 
 
 def slow_group(work, role):
-    """Return the group in which an upstream's speed is compared."""
+    """Return the key of the group in which an upstream is compared."""
     return (role, work.target)
 
 
 class SlowUpstreams:
-    """Keeps slow upstreams out of the choice.
+    """Outlier detector that ejects slow upstreams.
 
     Observations are compared within a group, such as all decode engines of
     one model.
@@ -66,88 +67,88 @@
     """
 
     def __init__(self):
-        """Start with no upstream known."""
+        """Start without observations."""
         self._groups = {}
-        self._out = {}
+        self._ejected = {}
 
     def observe(self, group, upstream_id, slowness, *, now_s):
-        """Take in the ratio of time taken to time predicted."""
+        """Record a ratio of actual to predicted time."""
         peers = self._groups.setdefault(group, {})
-        before = peers.get(upstream_id)
-        after = _smoothed(before, slowness)
-        peers[upstream_id] = after
-        if after.samples < ENOUGH:
+        previous = peers.get(upstream_id)
+        updated = _smoothed(previous, slowness)
+        peers[upstream_id] = updated
+        if updated.samples < MIN_SAMPLES:
             return
         if self._is_slow(peers, upstream_id):
-            self._take_out(group, peers, upstream_id, now_s)
-        elif upstream_id in self._out.get(group, ()):
-            self._out[group].discard(upstream_id)
+            self._eject(group, peers, upstream_id, now_s)
+        elif upstream_id in self._ejected.get(group, ()):
+            self._ejected[group].discard(upstream_id)
 
     def is_out(self, group, upstream_id, *, now_s):
-        """Return whether the upstream should get no work now.
+        """Return whether the upstream is ejected.
 
-        Once its time is over, the first question returns False and starts
-        the time anew, so that one request probes it.
+        When the ejection time is over, the first call returns False and
+        restarts the time, so that one request probes the upstream.
         """
-        if upstream_id not in self._out.get(group, ()):
+        if upstream_id not in self._ejected.get(group, ()):
             return False
-        standing = self._groups[group][upstream_id]
-        if now_s < standing.out_until_s:
+        stats = self._groups[group][upstream_id]
+        if now_s < stats.ejected_until_s:
             return True
-        self._groups[group][upstream_id] = Standing(
-            slowness=standing.slowness,
-            samples=standing.samples,
-            out_until_s=now_s + OUT_S,
+        self._groups[group][upstream_id] = SlownessStats(
+            slowness=stats.slowness,
+            samples=stats.samples,
+            ejected_until_s=now_s + EJECTION_S,
         )
         return False
 
     def slowness(self, group, upstream_id):
-        """Return the smoothed slowness, 1 when unknown."""
-        standing = self._groups.get(group, {}).get(upstream_id)
-        if standing is None or standing.samples < ENOUGH:
+        """Return the smoothed slowness, 1 if unknown."""
+        stats = self._groups.get(group, {}).get(upstream_id)
+        if stats is None or stats.samples < MIN_SAMPLES:
             return 1.0
-        return standing.slowness
+        return stats.slowness
 
-    def out(self, group):
-        """Return the names that are out, sorted."""
-        return tuple(sorted(self._out.get(group, ())))
+    def ejected(self, group):
+        """Return the ids of the ejected upstreams, sorted."""
+        return tuple(sorted(self._ejected.get(group, ())))
 
     def forget(self, upstream_id):
-        """Forget an upstream that left or restarted."""
+        """Remove the state of an upstream that left or restarted."""
         for group, peers in self._groups.items():
             peers.pop(upstream_id, None)
-            self._out.get(group, set()).discard(upstream_id)
+            self._ejected.get(group, set()).discard(upstream_id)
 
     def _is_slow(self, peers, upstream_id):
         others = [
             peer.slowness
             for name, peer in peers.items()
-            if name != upstream_id and peer.samples >= ENOUGH
+            if name != upstream_id and peer.samples >= MIN_SAMPLES
         ]
         if len(others) + 1 < MIN_PEERS:
             return False
         return peers[upstream_id].slowness > SLOW_FACTOR * median(others)
 
-    def _take_out(self, group, peers, upstream_id, now_s):
-        out = self._out.setdefault(group, set())
-        room = len(out) < int(len(peers) * MAX_OUT_SHARE)
-        if upstream_id in out or not room:
+    def _eject(self, group, peers, upstream_id, now_s):
+        ejected = self._ejected.setdefault(group, set())
+        below_limit = len(ejected) < int(len(peers) * MAX_EJECTED_SHARE)
+        if upstream_id in ejected or not below_limit:
             return
-        out.add(upstream_id)
-        standing = peers[upstream_id]
-        peers[upstream_id] = Standing(
-            slowness=standing.slowness,
-            samples=standing.samples,
-            out_until_s=now_s + OUT_S,
+        ejected.add(upstream_id)
+        stats = peers[upstream_id]
+        peers[upstream_id] = SlownessStats(
+            slowness=stats.slowness,
+            samples=stats.samples,
+            ejected_until_s=now_s + EJECTION_S,
         )
 
 
-def _smoothed(before, slowness):
-    if before is None:
-        return Standing(slowness=slowness, samples=1)
-    smoothed = before.slowness + SMOOTHING * (slowness - before.slowness)
-    return Standing(
+def _smoothed(previous, slowness):
+    if previous is None:
+        return SlownessStats(slowness=slowness, samples=1)
+    smoothed = previous.slowness + SMOOTHING * (slowness - previous.slowness)
+    return SlownessStats(
         slowness=smoothed,
-        samples=before.samples + 1,
-        out_until_s=before.out_until_s,
+        samples=previous.samples + 1,
+        ejected_until_s=previous.ejected_until_s,
     )
--- a/currantdeal/policy/placement.py
+++ b/currantdeal/policy/placement.py
@@ -1,23 +1,27 @@
-"""Placement: which decode and which prefill engine serve a request.
-
-The load pattern is a pool of many engines whose load is known with a lag.
-Choosing at random ignores what is known; choosing the best of all sends every
-entry's next request to the same engine until the next report.  A few
-candidates are sampled and the best of them is taken [1]_, so that a decision
-costs the same with 680 upstreams as with ten and entries do not herd.
-
-Decode comes first, because its memory is scarce: candidates are compared by
-the share of memory that would be in use.  Prefill is chosen for the decode
-engine found: the wait for its queue, the time of computing what is not
-cached, and the transfer.  What a candidate is believed to have cached counts
-as tokens saved, so a hot prefix attracts work until the queue there is longer
-than computing it anew elsewhere; then it is computed there and spread.
-
-Crossing regions costs the one-way delay and a price for the volume, given in
-seconds per gigabyte: traffic crosses only when that buys more time than it
-costs.  Candidates: four sampled from the own region, two from the others, and
-up to two that may hold the prefix; twice as many cost twice the time and gave
-no more goodput.
+"""Choose the decode engine and the prefill engine for a request.
+
+Load pattern: thundering herd on stale load reports.  The load of many engines
+is known with a lag.  A random choice ignores the reports; choosing the best of
+all engines sends the next request of every entry to the same engine until the
+next report.  So a few candidates are sampled and the best of them is taken
+[1]_: a decision costs the same with 680 upstreams as with ten, and entries
+spread their requests.
+
+The decode engine is chosen first, because its memory is the scarce resource:
+candidates are compared by the share of memory that would be in use.  The
+prefill engine is then chosen for that decode engine, by the sum of its
+queueing time, the time to compute the tokens that are not cached, and the
+transfer time.  Tokens that a candidate probably has cached need not be
+computed, so a hot prefix attracts requests until the queue there takes longer
+than computing the prefix elsewhere; it is then computed elsewhere, and more
+engines hold it.
+
+A choice in another region costs the one-way network delay and, for the KV
+cache transferred, a price in seconds per gigabyte, so that traffic crosses
+regions only when this saves more time than it costs.  Candidates are four
+sampled from the own region, two from other regions, and up to two that may
+hold the prefix.  Twice as many candidates double the cost of a decision and
+give no more goodput.
 
 References
 ----------
@@ -33,28 +37,31 @@
 from currantdeal.core import Role, Upstream
 from currantdeal.policy.outliers import slow_group
 
-NEAR_SAMPLES = 4
-FAR_SAMPLES = 2
-MAX_HOLDERS = 2
-FAR_DELAY_S = 0.012
-FAR_S_PER_GB = 0.2
+SAME_REGION_SAMPLES = 4
+OTHER_REGION_SAMPLES = 2
+MAX_PREFIX_HOLDERS = 2
+CROSS_REGION_DELAY_S = 0.012
+CROSS_REGION_S_PER_GB = 0.2
 DEFAULT_PREFILL_TOKENS_PER_S = 8_000.0
 FULL_PENALTY_S = 1.0
-SPREAD_S = 0.05
+"""Added to the cost of a decode engine that lacks memory for the request."""
+
+JITTER_S = 0.05
+"""Random addition to the cost of a decode engine."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Choice:
-    """Where a request goes.
+    """The engines chosen for a request.
 
     Parameters
     ----------
     decode, prefill : Upstream
-        The engines; the same one when it serves both roles.
+        The chosen engines; the same one if it serves both roles.
     cached_tokens : float
-        Leading prompt tokens believed to be cached at the prefill engine.
+        Leading prompt tokens expected in the prefill engine's cache.
     prefill_s : float
-        Predicted time until the prefill has ended, in seconds.
+        Predicted time until the prefill ends, in seconds.
     transfer_s : float
         Predicted time of the transfer, in seconds.
     """
@@ -72,15 +79,15 @@
     Parameters
     ----------
     rng : random.Random
-        Draws the candidates.
+        Samples the candidates.
     hints : PrefixHints
-        Where prefixes may be cached.
+        Upstreams that may have a prefix cached.
     slow : SlowUpstreams
-        Which upstreams to leave out.
+        Outlier detector; ejected upstreams are not chosen.
     """
 
     def __init__(self, *, rng, hints, slow):
-        """Keep what decisions rest on."""
+        """Store the inputs of decisions."""
         self._rng = rng
         self._hints = hints
         self._slow = slow
@@ -95,148 +102,156 @@
         load,
         tokens,
         now_s,
-        full=(),
-        wanted=None,
+        excluded=(),
+        preferred=None,
     ):
-        """Return a ``Choice``, or None when no engine is left.
+        """Return a ``Choice``, or None if no engine is available.
 
         Parameters
         ----------
         prefills, decodes : tuple of Upstream
-            Those that the selectors allow; the same tuple object as long as
-            nothing changed, which saves sorting them by region again.
+            Upstreams that the selectors allow.  Their grouping by region is
+            cached by tuple object, so callers should pass the same object
+            until the pool changes.
         load : LoadView
-            Believed loads.
+            Estimated loads.
         tokens : int
-            Tokens of prompt and expected output, to be held in memory.
-        full : collection of UpstreamId
-            Engines whose homes refused the work a moment ago.
-        wanted : UpstreamId, optional
-            The decode engine that the work waits for, if still allowed.
+            Tokens of prompt and expected output that need memory.
+        excluded : collection of UpstreamId
+            Engines that recently failed or refused the work.
+        preferred : UpstreamId, optional
+            The decode engine that the work waits for; chosen if it is still
+            allowed.
         """
-        decode = self._pool(decodes).by_name.get(wanted)
+        decode = self._pool(decodes).by_name.get(preferred)
         if decode is None:
             decode = self._choose_decode(
-                work, decodes, load, tokens, now_s, full
+                work, decodes, load, tokens, now_s, excluded
             )
         if decode is None:
             return None
-        return self._choose_prefill(work, prefills, decode, load, now_s, full)
+        return self._choose_prefill(
+            work, prefills, decode, load, now_s, excluded
+        )
 
-    def _choose_decode(self, work, decodes, load, tokens, now_s, full):
-        found = self._candidates(
+    def _choose_decode(self, work, decodes, load, tokens, now_s, excluded):
+        candidates = self._candidates(
             self._pool(decodes), work, work.region, Role.DECODE, {}, now_s
         )
         best = None
-        for upstream in found:
-            if upstream.upstream_id in full:
+        for upstream in candidates:
+            if upstream.upstream_id in excluded:
                 continue
-            believed = load.get(upstream.upstream_id, now_s=now_s)
-            score = _decode_price(work, upstream, believed, tokens)
-            score += self._rng.random() * SPREAD_S
+            estimate = load.get(upstream.upstream_id, now_s=now_s)
+            score = _decode_cost_s(work, upstream, estimate, tokens)
+            score += self._rng.random() * JITTER_S
             if best is None or score < best[0]:
                 best = (score, upstream)
         return best[1] if best else None
 
-    def _choose_prefill(self, work, prefills, decode, load, now_s, full):
-        held = self._hints.holders(work.prefix_keys, now_s=now_s)
-        found = self._candidates(
+    def _choose_prefill(self, work, prefills, decode, load, now_s, excluded):
+        holders = self._hints.holders(work.prefix_keys, now_s=now_s)
+        candidates = self._candidates(
             self._pool(prefills),
             work,
             decode.region,
             Role.PREFILL,
-            held,
+            holders,
             now_s,
         )
         best = None
-        for upstream in found:
-            if upstream.upstream_id in full:
+        for upstream in candidates:
+            if upstream.upstream_id in excluded:
                 continue
-            believed = load.get(upstream.upstream_id, now_s=now_s)
-            cached = held.get(upstream.upstream_id, 0.0)
-            times = _times(work, decode, upstream, cached, believed)
-            score = _price(work, decode, upstream, times)
+            estimate = load.get(upstream.upstream_id, now_s=now_s)
+            cached = holders.get(upstream.upstream_id, 0.0)
+            times = _times(work, decode, upstream, cached, estimate)
+            score = _prefill_cost_s(work, decode, upstream, times)
             if best is None or score < best[0]:
                 best = (score, upstream, cached, times)
         return _choice(work, decode, best) if best else None
 
-    def _candidates(self, pool, work, region, role, held, now_s):
+    def _candidates(self, pool, work, region, role, holders, now_s):
         group = slow_group(work, role)
-        found = _sample(self._rng, pool.near(region), NEAR_SAMPLES)
-        found += _sample(self._rng, pool.far(region), FAR_SAMPLES)
-        if held:
-            names = {upstream.upstream_id for upstream in found}
-            best = nlargest(MAX_HOLDERS, held, key=held.get)
-            found += [
+        candidates = _sample(
+            self._rng, pool.same_region(region), SAME_REGION_SAMPLES
+        )
+        candidates += _sample(
+            self._rng, pool.other_regions(region), OTHER_REGION_SAMPLES
+        )
+        if holders:
+            names = {upstream.upstream_id for upstream in candidates}
+            best = nlargest(MAX_PREFIX_HOLDERS, holders, key=holders.get)
+            candidates += [
                 pool.by_name[name]
                 for name in best
                 if name in pool.by_name and name not in names
             ]
         healthy = [
             up
-            for up in found
+            for up in candidates
             if not self._slow.is_out(group, up.upstream_id, now_s=now_s)
         ]
-        return healthy or found
+        return healthy or candidates
 
     def _pool(self, upstreams):
-        known = self._pools.get(id(upstreams))
-        if known is None or known.upstreams is not upstreams:
+        pool = self._pools.get(id(upstreams))
+        if pool is None or pool.upstreams is not upstreams:
             if len(self._pools) > 64:
                 self._pools.clear()
-            known = self._pools[id(upstreams)] = _Pool(upstreams)
-        return known
+            pool = self._pools[id(upstreams)] = _Pool(upstreams)
+        return pool
 
 
 class _Pool:
-    """Allowed upstreams, sorted by region once."""
+    """Allowed upstreams, grouped by region on first use."""
 
     def __init__(self, upstreams):
         self.upstreams = upstreams
         self.by_name = {up.upstream_id: up for up in upstreams}
-        self._near = {}
-        self._far = {}
+        self._same_region = {}
+        self._other_regions = {}
 
-    def near(self, region):
-        if region not in self._near:
-            self._near[region] = [
+    def same_region(self, region):
+        if region not in self._same_region:
+            self._same_region[region] = [
                 up for up in self.upstreams if up.region == region
             ]
-        return self._near[region]
+        return self._same_region[region]
 
-    def far(self, region):
-        if region not in self._far:
-            self._far[region] = [
+    def other_regions(self, region):
+        if region not in self._other_regions:
+            self._other_regions[region] = [
                 up for up in self.upstreams if up.region != region
             ]
-        return self._far[region]
+        return self._other_regions[region]
 
 
-def _sample(rng, upstreams, wanted):
-    if len(upstreams) <= wanted:
+def _sample(rng, upstreams, size):
+    if len(upstreams) <= size:
         return list(upstreams)
-    # Drawn with repeats, which do no harm among a few of many and take a
-    # third of the time of random.sample.
+    # Sampling with replacement takes a third of the time of random.sample;
+    # repeats do no harm when a few of many are sampled.
     count = len(upstreams)
-    return [upstreams[int(rng.random() * count)] for _ in range(wanted)]
+    return [upstreams[int(rng.random() * count)] for _ in range(size)]
 
 
-def _decode_price(work, upstream, believed, tokens):
+def _decode_cost_s(work, upstream, estimate, tokens):
     total = max(1, upstream.pieces_total)
-    free = total if believed.pieces_free is None else believed.pieces_free
+    free = total if estimate.pieces_free is None else estimate.pieces_free
     left = free - tokens // upstream.tokens_per_piece
-    price_s = 1.0 - max(0, left) / total
+    cost_s = 1.0 - max(0, left) / total
     if left < 0:
-        price_s += FULL_PENALTY_S
+        cost_s += FULL_PENALTY_S
     if upstream.region != work.region:
-        price_s += FAR_DELAY_S
-    return price_s
+        cost_s += CROSS_REGION_DELAY_S
+    return cost_s
 
 
-def _times(work, decode, prefill, cached, believed):
-    rate = believed.prefill_tokens_per_s or DEFAULT_PREFILL_TOKENS_PER_S
+def _times(work, decode, prefill, cached, estimate):
+    rate = estimate.prefill_tokens_per_s or DEFAULT_PREFILL_TOKENS_PER_S
     to_compute = max(0.0, work.prompt_tokens - cached)
-    prefill_s = (believed.queued_tokens + to_compute) / rate
+    prefill_s = (estimate.queued_tokens + to_compute) / rate
     return prefill_s, _transfer_s(work, prefill, decode)
 
 
@@ -259,13 +274,13 @@
         decode.link_bytes_per_s or math.inf,
     )
     moving_s = work.prompt_tokens * prefill.kv_bytes_per_token / rate
-    far = prefill.region != decode.region
-    return moving_s + (FAR_DELAY_S if far else 0.0)
+    crosses = prefill.region != decode.region
+    return moving_s + (CROSS_REGION_DELAY_S if crosses else 0.0)
 
 
-def _price(work, decode, prefill, times):
-    price_s = sum(times)
+def _prefill_cost_s(work, decode, prefill, times):
+    cost_s = sum(times)
     if prefill.region != decode.region:
         kv_bytes = work.prompt_tokens * prefill.kv_bytes_per_token
-        price_s += FAR_S_PER_GB * kv_bytes / 1e9
-    return price_s
+        cost_s += CROSS_REGION_S_PER_GB * kv_bytes / 1e9
+    return cost_s
--- a/currantdeal/policy/plans.py
+++ b/currantdeal/policy/plans.py
@@ -1,4 +1,8 @@
-"""What the scheduler is told of upstreams and what it answers."""
+"""Messages between the scheduler and its caller.
+
+``Pools`` goes into the scheduler; ``Plan``, ``Wait`` and ``GiveUp`` are what
+``Scheduler.poll`` returns.
+"""
 
 from dataclasses import dataclass
 
@@ -12,7 +16,8 @@
 class Pools:
     """Upstreams that the selectors allow for a target, by role.
 
-    The tuples should stay the same objects while nothing changes.
+    The tuples should stay the same objects until the pools change, because
+    ``Placement`` caches their grouping by region.
     """
 
     prefills: tuple[Upstream, ...]
@@ -21,14 +26,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """Work whose turn it is, and what to reserve for it.
+    """Work to start, and the reservations to make for it.
 
     Parameters
     ----------
     decode_ask, prefill_ask : Ask
-        Reserved in this order at the homes of the chosen engines.
+        Reservations to make at the homes of the chosen engines, in this
+        order.
     output_tokens : int
-        Output tokens that the decode memory is meant for.
+        Output tokens for which decode memory is reserved.
     """
 
     work: Work
@@ -40,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GiveUp:
-    """Work that waited and can no longer be in time; it did not run."""
+    """Queued work that can no longer meet its deadline; it did not run."""
 
     work: Work
     refused: Refused
@@ -48,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Wait:
-    """Work whose turn it is while every engine is full; poll again later."""
+    """No engine has capacity for the work; poll again after ``delay_s``."""
 
     work: Work
     delay_s: float
--- a/currantdeal/policy/prefixes.py
+++ b/currantdeal/policy/prefixes.py
@@ -1,13 +1,13 @@
-"""Prefix affinity as a hint that ages.
+"""Hints on which engines have a prompt prefix cached, discounted by age.
 
-The load pattern is many prompts that begin alike, such as one catalogue read
-by all assistants of a bakery.  Without affinity every engine computes and
-stores the same prefix; with affinity that is believed for ever, requests
-follow caches that are long evicted and pile up on one engine.  Cache events
-come late and with gaps, so a hint is only a guess: it is believed less with
-age and not at all after 30 s, in which an engine under load replaces its
-cache at least once.  The own sending of a prompt is the freshest hint of all,
-so it is learned too.
+Load pattern: hot prefix, such as one catalogue that all assistants of a bakery
+read.  Without prefix affinity every engine computes and stores the same
+prefix.  With hints that never age, requests follow caches that were evicted
+long ago and pile up on one engine.  Cache events arrive late and with gaps, so
+a hint is uncertain: its weight decreases with age and reaches zero after 30 s,
+in which an engine under load replaces its cache at least once.  The most
+recent information is that this instance sent a prompt itself, so that is
+recorded too.
 """
 
 from collections import OrderedDict
@@ -15,19 +15,18 @@
 BLOCK_TOKENS = 256
 MAX_AGE_S = 30.0
 MAX_KEYS = 50_000
-MAX_HOLDERS = 4
+MAX_HOLDERS_PER_KEY = 4
 
 
 class PrefixHints:
-    """Which upstreams probably hold which prompt prefixes.
+    """Upstreams that probably have prompt prefixes cached.
 
     Parameters
     ----------
     max_age_s : float
-        Age at which a hint is no longer believed, in seconds.
+        Age at which the weight of a hint reaches zero, in seconds.
     max_keys : int
-        Block keys that are remembered, least recently learned forgotten
-        first.
+        Limit of block keys; the least recently learned one is evicted first.
 
     Examples
     --------
@@ -43,56 +42,56 @@
     """
 
     def __init__(self, *, max_age_s=MAX_AGE_S, max_keys=MAX_KEYS):
-        """Start without hints."""
+        """Create an empty set of hints."""
         self._max_age_s = max_age_s
         self._max_keys = max_keys
         self._seen = OrderedDict()
 
     def learn(self, upstream_id, prefix_keys, *, now_s):
-        """Believe that an upstream holds some blocks since now."""
+        """Record that an upstream holds some blocks as of now."""
         for key in prefix_keys:
             holders = self._seen.setdefault(key, {})
             holders.pop(upstream_id, None)
             holders[upstream_id] = now_s
-            if len(holders) > MAX_HOLDERS:
+            if len(holders) > MAX_HOLDERS_PER_KEY:
                 del holders[next(iter(holders))]
             self._seen.move_to_end(key)
         while len(self._seen) > self._max_keys:
             self._seen.popitem(last=False)
 
     def forget(self, upstream_id, prefix_keys):
-        """Stop believing, after the upstream turned out not to hold them."""
+        """Drop hints on blocks that the upstream turned out not to hold."""
         for key in prefix_keys:
             self._seen.get(key, {}).pop(upstream_id, None)
 
     def holders(self, prefix_keys, *, now_s):
-        """Return expected cached tokens of a prompt, by upstream.
+        """Return the expected number of cached prompt tokens, by upstream.
 
-        The tokens are discounted by the age of the oldest hint they rest on.
+        The number is discounted by the age of the oldest hint it is based on.
         """
-        found = {}
-        alive = None
+        longest = {}
+        common = None
         for position, key in enumerate(prefix_keys, start=1):
-            alive = self._still_held(alive, key, now_s - self._max_age_s)
-            if not alive:
+            common = self._holders_of_all(common, key, now_s - self._max_age_s)
+            if not common:
                 break
-            for name, seen_s in alive.items():
-                found[name] = (position, seen_s)
+            for name, seen_s in common.items():
+                longest[name] = (position, seen_s)
         return {
             name: position * BLOCK_TOKENS * self._belief(seen_s, now_s)
-            for name, (position, seen_s) in found.items()
+            for name, (position, seen_s) in longest.items()
         }
 
-    def _still_held(self, alive, key, horizon_s):
+    def _holders_of_all(self, common, key, cutoff_s):
         holders = self._seen.get(key)
         if not holders:
             return None
-        if alive is None:
-            alive = holders
+        if common is None:
+            common = holders
         return {
             name: min(seen_s, holders[name])
-            for name, seen_s in alive.items()
-            if holders.get(name, horizon_s) > horizon_s
+            for name, seen_s in common.items()
+            if holders.get(name, cutoff_s) > cutoff_s
         }
 
     def _belief(self, seen_s, now_s):
--- a/currantdeal/policy/retry.py
+++ b/currantdeal/policy/retry.py
@@ -1,36 +1,37 @@
-"""Retries: at one layer, within a budget, and only where they do no harm.
-
-The load pattern is an outage: many requests fail at once, and each retry is
-one more request for what is left.  Without a budget the retries multiply the
-load just when capacity is missing and keep it up after the outage is over.
-
-Each first try earns a tenth of a retry, so retries add at most a tenth to the
-load; ten may be saved up, so that a single failure in quiet times is always
-retried.  Work that is not idempotent is tried again only where it is proved
-that it did not run.  A stream that has begun is resumed, not retried; that is
-no retry and takes nothing from the budget.
+"""Decide on retries: at one layer, within a budget, only where they are safe.
+
+Load pattern: retry storm.  In an outage many requests fail at once, and each
+retry is one more request for the capacity that is left.  Without a budget the
+retries multiply the load just when capacity is missing, and sustain the
+overload after the outage is over.
+
+Each first attempt adds a tenth of a retry to the budget, so retries add at
+most a tenth to the load.  The budget holds up to ten retries, so that a single
+failure under low load is always retried.  Work that is not idempotent is
+retried only if it provably did not run.  A stream that has begun is resumed
+instead of retried, which takes nothing from the budget.
 """
 
 from dataclasses import dataclass
 
 from currantdeal.core import Ran
 
-EARNED_PER_TRY = 0.1
-MAX_SAVED = 10.0
+RETRIES_PER_FIRST_ATTEMPT = 0.1
+MAX_BALANCE = 10.0
 MAX_ATTEMPTS = 3
-FIRST_DELAY_S = 0.02
+BASE_DELAY_S = 0.02
 
 
 @dataclass(frozen=True, kw_only=True)
 class RetryDecision:
-    """Whether and when to try again.
+    """Whether and when to retry.
 
     Parameters
     ----------
     allowed : bool
-        False means that the caller gets its refusal now.
+        False means that the failure is returned to the caller now.
     delay_s : float
-        Seconds to wait before the next try; jittered.
+        Backoff before the next attempt, in seconds, with jitter.
     """
 
     allowed: bool
@@ -38,7 +39,7 @@
 
 
 class RetryBudget:
-    """Decides on retries of one instance.
+    """Retry budget of one instance.
 
     Examples
     --------
@@ -52,35 +53,37 @@
     True
     """
 
-    def __init__(self, *, rng, saved=MAX_SAVED):
-        """Start with some saved retries."""
+    def __init__(self, *, rng, balance=MAX_BALANCE):
+        """Start with a balance of retries."""
         self._rng = rng
-        self._saved = saved
+        self._balance = balance
 
     def record_try(self):
-        """Earn for one first try."""
-        self._saved = min(MAX_SAVED, self._saved + EARNED_PER_TRY)
+        """Credit the budget for one first attempt."""
+        self._balance = min(
+            MAX_BALANCE, self._balance + RETRIES_PER_FIRST_ATTEMPT
+        )
 
     def decide(self, *, ran, idempotent, attempts, time_left_s=float("inf")):
-        """Return whether to try again after a failed attempt.
+        """Return the ``RetryDecision`` after a failed attempt.
 
         Parameters
         ----------
         ran : Ran
             Whether the failed attempt ran.
         idempotent : bool
-            Whether running the work twice does no harm.
+            Whether the work may safely run twice.
         attempts : int
-            Attempts so far, the failed one included.
+            Attempts so far, including the failed one.
         time_left_s : float
-            Seconds until the work's deadline.
+            Seconds until the deadline of the work.
         """
-        harmless = idempotent or ran is Ran.NO
-        delay_s = FIRST_DELAY_S * 2**attempts * self._rng.uniform(0.5, 1.0)
+        safe = idempotent or ran is Ran.NO
+        delay_s = BASE_DELAY_S * 2**attempts * self._rng.uniform(0.5, 1.0)
         in_time = delay_s < time_left_s
-        if not harmless or attempts >= MAX_ATTEMPTS or not in_time:
+        if not safe or attempts >= MAX_ATTEMPTS or not in_time:
             return RetryDecision(allowed=False)
-        if self._saved < 1.0:
+        if self._balance < 1.0:
             return RetryDecision(allowed=False)
-        self._saved -= 1.0
+        self._balance -= 1.0
         return RetryDecision(allowed=True, delay_s=delay_s)
--- a/currantdeal/policy/scheduler.py
+++ b/currantdeal/policy/scheduler.py
@@ -1,40 +1,42 @@
-"""From arrival to start: the decisions of one instance put together.
-
-One scheduler serves one target (a model) at one instance.  The load pattern
-is everything at once: a queue that grows, engines that are full, and callers
-of different size.  Each of the other modules answers one part of that; this
-one fixes the order in which they are asked, so that serving and the load
-experiments run the same decisions.
-
-``submit`` admits work or refuses it.  ``poll`` hands out plans for the work
-whose turn it is, and gives up on work that can no longer be in time.  The
-caller of the scheduler reserves what the plan asks for, decode first, tells
-how that went by ``reserved`` or ``blocked``, and polls again.
-
-Blocked work keeps its turn.  It is planned for up to three engines; when all
-refuse, ``poll`` returns a ``Wait``, after which it is to be called again.
-The work then waits for the engine that promised room first: it asks there
-every 20 ms, by which it keeps its place at that engine's home, and looks at
-one of the others in between.  Each caller has at most four such turns at a
-time, so that a hot caller whose work waits for engines delays nobody else's,
-and a home that does not answer delays only some of a caller's work.  Sixteen
-turns in all bound what an entry asks of homes to some hundred reservations a
-second.
-
-Work is started only if its path to the first output, lengthened by 10%, and
-by up to 30% for users who weigh waste, still ends before its deadline:
-without that margin 1.6% of the prefills were wasted at 1.5 times capacity,
-with 20% a tenth of that, for the same goodput.
+"""Schedule the requests of one instance, from admission to start.
+
+Load pattern: sustained overload with a growing queue, full engines, and
+callers that send very different amounts of work.  One scheduler serves one
+target (a model) at one instance.  The other modules of this package each make
+one kind of decision; the scheduler fixes the order in which they are applied,
+so that the server and the load experiments make the same decisions.
+
+``submit`` admits or refuses work.  ``poll`` returns plans for the work that
+is dispatched next, and gives up work that can no longer meet its deadline.
+The caller of the scheduler makes the reservations of a plan, decode engine
+first, reports the result with ``reserved`` or ``blocked``, and polls again.
+
+Refused work stays dispatched.  It is planned for up to three engines; when
+all of them refuse, ``poll`` returns a ``Wait``, after which the caller polls
+again.  From then on the work waits for the engine that announced free memory
+soonest: it requests a reservation there every 20 ms, which keeps its place in
+the wait queue of that engine's home, and tries one of the other engines in
+between.  Each caller has at most four such dispatches at a time, so that a hot
+caller whose work waits for engines does not delay other callers, and a home
+that does not respond delays only a part of a caller's work.  The limit of
+sixteen dispatches in all bounds the load of one entry on the homes to some
+hundred reservations a second.
+
+Work is started only if its predicted time to first output, plus a safety
+margin of 10%, or up to 30% for users who give more weight to wasted prefill,
+still ends before the deadline.  Without a margin 1.6% of the prefills are
+wasted at 1.5 times capacity, with 20% a tenth of that, for the same goodput.
 """
 
 from collections import Counter
 
 from currantdeal.core import Role
 from currantdeal.policy.admission import Admission, Refused, StartRate
+from currantdeal.policy.dispatch import RETRY_INTERVAL_S, Dispatch
 from currantdeal.policy.estimates import (
-    STEP_S,
+    DEFAULT_STEP_S,
     Estimates,
-    usual_prefill_s,
+    unloaded_prefill_s,
 )
 from currantdeal.policy.fair_queue import FairQueue, Queued
 from currantdeal.policy.ledger import Ask
@@ -44,33 +46,32 @@
 from currantdeal.policy.placement import Placement
 from currantdeal.policy.plans import GiveUp, Plan, Wait
 from currantdeal.policy.prefixes import PrefixHints
-from currantdeal.policy.turns import PAUSE_S, Turn
 from currantdeal.policy.weights import EVEN_WEIGHTS
 
-MAX_TURNS = 16
-MAX_TURNS_PER_CALLER = 4
-SWEEP_S = 0.05
-FAILED_S = 1.0
-INITIAL_RATE = 50.0
+MAX_DISPATCHES = 16
+MAX_DISPATCHES_PER_CALLER = 4
+EXPIRY_CHECK_S = 0.05
+FAILURE_COOLDOWN_S = 1.0
+INITIAL_START_RATE = 50.0
 
 
 class Scheduler:
-    """Decides for one target at one instance.
+    """Schedules the work of one target at one instance.
 
     Parameters
     ----------
     entry : InstanceId
-        The instance.
+        The instance that serves the requests.
     rng : random.Random
-        All chance in the decisions.
+        Source of all randomness in the decisions.
     load : callable
-        From an upstream id to its last ``LoadReport`` or None.
+        Maps an upstream id to its last ``LoadReport`` or None.
     pools : callable
-        From work to the ``Pools`` that the selectors allow for it.
+        Maps work to the ``Pools`` that the selectors allow for it.
     weights : UserWeights
-        What the user weighs more.
+        The user's weights of goodput and wasted prefill.
     queue, admission, lengths, hints, slow, placement : optional
-        Parts to use in place of the usual ones.
+        Components that replace the default ones.
 
     Examples
     --------
@@ -103,10 +104,10 @@
         slow=None,
         placement=None,
     ):
-        """Build the parts that are not given."""
+        """Create the components that are not given."""
         self._entry = entry
-        # An empty queue is falsy, so "queue or FairQueue()" would drop it and
-        # with it the weights of the callers.
+        # An empty queue is falsy: "queue or FairQueue()" would replace it,
+        # and the weights of the callers would be lost.
         self._queue = FairQueue() if queue is None else queue
         self._admission = admission or Admission(rng=rng, weights=weights)
         self._estimates = Estimates(
@@ -119,19 +120,19 @@
         )
         self._load = LoadView(source=load)
         self._pools_of = pools
-        self._rate = StartRate(initial=INITIAL_RATE)
-        self._turns = {}
+        self._start_rate = StartRate(initial=INITIAL_START_RATE)
+        self._dispatches = {}
         self._failed_until_s = {}
-        self._next_sweep_s = 0.0
+        self._next_expiry_check_s = 0.0
 
     @property
     def waiting(self):
-        """Number of pieces of work that have not been started."""
-        return len(self._queue) + len(self._turns)
+        """Number of work items that have not been started."""
+        return len(self._queue) + len(self._dispatches)
 
     @property
     def slow(self):
-        """The ``SlowUpstreams`` in use."""
+        """The outlier detector (``SlowUpstreams``) in use."""
         return self._slow
 
     def submit(self, work, *, now_s):
@@ -139,10 +140,10 @@
         cost_s = self._estimates.cost_s(work)
         decision = self._admission.decide(
             time_left_s=work.deadline_s - now_s,
-            cost_ahead_s=self._ahead_s(work),
+            cost_ahead_s=self._cost_ahead_s(work),
             cost_s=cost_s,
             queued_s=self._queue.cost_s,
-            rate_per_s=self._rate.per_s,
+            rate_per_s=self._start_rate.per_s,
             path_s=self._estimates.path_s(work),
         )
         if not isinstance(decision, Refused):
@@ -151,33 +152,35 @@
 
     def poll(self, *, now_s):
         """Return the ``Plan``, ``Wait`` and ``GiveUp`` messages now due."""
-        due = list(self._sweep(now_s))
-        for turn in list(self._turns.values()):
-            if turn.due_s is not None and turn.due_s <= now_s:
-                due.append(self._take_turn(turn, now_s))
-        while len(self._turns) < MAX_TURNS:
-            queued = self._queue.pop(skip=self._busy_callers())
+        due = list(self._expire_queued(now_s))
+        for dispatch in list(self._dispatches.values()):
+            if dispatch.due_s is not None and dispatch.due_s <= now_s:
+                due.append(self._dispatch(dispatch, now_s))
+        while len(self._dispatches) < MAX_DISPATCHES:
+            queued = self._queue.pop(skip=self._callers_at_limit())
             if queued is None:
                 break
-            due.append(self._take_turn(Turn(queued=queued), now_s))
+            due.append(self._dispatch(Dispatch(queued=queued), now_s))
         return tuple(due)
 
     def reserved(self, plan, *, now_s):
-        """Take in that all of a plan was reserved and its work starts."""
-        turn = self._turns.pop(plan.work.request_id, None)
-        if turn is None:
+        """Record that all of a plan was reserved and its work starts."""
+        dispatch = self._dispatches.pop(plan.work.request_id, None)
+        if dispatch is None:
             return
         choice = plan.choice
-        self._rate.record(
-            cost_s=turn.queued.cost_s, now_s=now_s, waiting=self.waiting > 0
+        self._start_rate.record(
+            cost_s=dispatch.queued.cost_s,
+            now_s=now_s,
+            waiting=self.waiting > 0,
         )
-        self._load.sent(
+        self._load.record_reservation(
             choice.decode.upstream_id,
             pieces=plan.decode_ask.pieces,
             tokens=0,
             now_s=now_s,
         )
-        self._load.sent(
+        self._load.record_reservation(
             choice.prefill.upstream_id,
             pieces=0,
             tokens=plan.prefill_ask.prefill_tokens,
@@ -188,54 +191,57 @@
         )
 
     def blocked(self, plan, upstream_id, *, retry_after_s, now_s):
-        """Take in that a home refused a part of a plan."""
-        turn = self._turns.get(plan.work.request_id)
-        if turn is None:
+        """Record that a home refused one of a plan's reservations."""
+        dispatch = self._dispatches.get(plan.work.request_id)
+        if dispatch is None:
             return
-        turn.due_s = now_s
+        dispatch.due_s = now_s
         if upstream_id == plan.choice.decode.upstream_id:
-            turn.refused_by(upstream_id, retry_after_s, now_s)
+            dispatch.record_decode_refusal(upstream_id, retry_after_s, now_s)
         else:
-            turn.refused_prefill(upstream_id, retry_after_s, now_s)
+            dispatch.record_prefill_refusal(upstream_id, retry_after_s, now_s)
 
     def failed(self, upstream_id, *, now_s):
-        """Take in that an upstream gave no answer; it is left out a while.
+        """Record that an upstream did not respond; exclude it for a time.
 
-        A dead engine looks idle until its silence is noticed.  Without this
-        a retry would go to it as likely as to a living one.
+        A dead engine looks idle until its missing reports are noticed.
+        Without the exclusion, a retry would choose it as often as a healthy
+        engine.
         """
-        self._failed_until_s[upstream_id] = now_s + FAILED_S
+        self._failed_until_s[upstream_id] = now_s + FAILURE_COOLDOWN_S
 
     def cancel(self, request_id):
-        """Forget waiting work whose caller is gone; return if it waited."""
-        if self._turns.pop(request_id, None) is not None:
+        """Remove work whose caller is gone; return whether it waited."""
+        if self._dispatches.pop(request_id, None) is not None:
             return True
         return bool(self._queue.remove_if(lambda q: _id(q) == request_id))
 
     def prefilled(self, work, upstream_id, *, cached_tokens, taken_s, now_s):
-        """Learn from a prefill.
+        """Record the result and duration of a prefill.
 
         Parameters
         ----------
         cached_tokens : int
-            Leading tokens that the engine did not have to compute.
+            Leading tokens that the engine had cached.
         taken_s : float
-            Time from sending to the result, in seconds.
+            Time from sending the request to its result, in seconds.
         """
         if work.prefix_keys and not cached_tokens:
             self._hints.forget(upstream_id, work.prefix_keys)
         self._hints.learn(upstream_id, work.prefix_keys, now_s=now_s)
         computed = max(0, work.prompt_tokens - cached_tokens)
-        usual_s = usual_prefill_s(computed)
+        unloaded_s = unloaded_prefill_s(computed)
         group = slow_group(work, Role.PREFILL)
-        self._slow.observe(group, upstream_id, taken_s / usual_s, now_s=now_s)
+        self._slow.observe(
+            group, upstream_id, taken_s / unloaded_s, now_s=now_s
+        )
 
     def first_output(self, work, *, path_s):
-        """Learn from the time between start and first output, in seconds."""
-        self._estimates.learn_path(work, path_s)
+        """Record the time between start and first output, in seconds."""
+        self._estimates.observe_path(work, path_s)
 
     def finished(self, work, upstream_id, *, tokens, between_s, now_s):
-        """Learn from a whole answer.
+        """Record the length and speed of a complete answer.
 
         Parameters
         ----------
@@ -244,55 +250,60 @@
         tokens : int
             Output tokens.
         between_s : float
-            Mean time between outputs, in seconds; 0 when there were fewer
-            than two.
+            Mean time between outputs, in seconds; 0 with fewer than two
+            outputs.
         """
-        self._estimates.learn_output(work, tokens)
+        self._estimates.observe_output(work, tokens)
         if between_s > 0:
             group = slow_group(work, Role.DECODE)
-            slowness = between_s / STEP_S
+            slowness = between_s / DEFAULT_STEP_S
             self._slow.observe(group, upstream_id, slowness, now_s=now_s)
 
-    def _busy_callers(self):
-        turns = Counter(
-            turn.queued.work.caller for turn in self._turns.values()
+    def _callers_at_limit(self):
+        dispatches = Counter(
+            dispatch.queued.work.caller
+            for dispatch in self._dispatches.values()
         )
         return {
             caller
-            for caller, count in turns.items()
-            if count >= MAX_TURNS_PER_CALLER
+            for caller, count in dispatches.items()
+            if count >= MAX_DISPATCHES_PER_CALLER
         }
 
-    def _take_turn(self, turn, now_s):
-        work = turn.queued.work
-        if self._estimates.is_late(work, now_s):
-            self._turns.pop(work.request_id, None)
+    def _dispatch(self, dispatch, now_s):
+        work = dispatch.queued.work
+        if self._estimates.would_miss_deadline(work, now_s):
+            self._dispatches.pop(work.request_id, None)
             return self._give_up(work)
-        self._turns[work.request_id] = turn
-        plan = self._plan(turn, now_s) if turn.asks_left > 0 else None
+        self._dispatches[work.request_id] = dispatch
+        plan = (
+            self._plan(dispatch, now_s) if dispatch.attempts_left > 0 else None
+        )
         if plan is None:
-            turn.pause(now_s)
-            return Wait(work=work, delay_s=PAUSE_S)
-        turn.asks_left -= 1
-        turn.due_s = None
+            dispatch.pause(now_s)
+            return Wait(work=work, delay_s=RETRY_INTERVAL_S)
+        dispatch.attempts_left -= 1
+        dispatch.due_s = None
         return plan
 
-    def _sweep(self, now_s):
-        if now_s < self._next_sweep_s:
+    def _expire_queued(self, now_s):
+        if now_s < self._next_expiry_check_s:
             return ()
-        self._next_sweep_s = now_s + SWEEP_S
-        late = self._queue.remove_if(
-            lambda queued: self._estimates.is_late(queued.work, now_s)
+        self._next_expiry_check_s = now_s + EXPIRY_CHECK_S
+        expired = self._queue.remove_if(
+            lambda queued: self._estimates.would_miss_deadline(
+                queued.work, now_s
+            )
         )
-        return tuple(self._give_up(queued.work) for queued in late)
+        return tuple(self._give_up(queued.work) for queued in expired)
 
     def _give_up(self, work):
-        wait_s = self._queue.cost_s / max(self._rate.per_s, 1e-6)
-        refused = self._admission.give_up(wait_s=wait_s)
+        wait_s = self._queue.cost_s / max(self._start_rate.per_s, 1e-6)
+        refused = self._admission.refuse_expired(wait_s=wait_s)
         return GiveUp(work=work, refused=refused)
 
-    def _plan(self, turn, now_s):
-        work = turn.queued.work
+    def _plan(self, dispatch, now_s):
+        work = dispatch.queued.work
         pools = self._pools_of(work)
         expected = self._estimates.reserved_tokens(work)
         choice = self._placement.choose(
@@ -302,24 +313,25 @@
             load=self._load,
             tokens=work.prompt_tokens + expected,
             now_s=now_s,
-            full=turn.full(now_s) | self._failed(now_s),
-            wanted=turn.take_wanted(),
+            excluded=dispatch.recently_refused(now_s)
+            | self._failed_upstreams(now_s),
+            preferred=dispatch.take_preferred(),
         )
         if choice is None:
             return None
-        return self._asks(work, choice, expected, now_s)
+        return self._build_plan(work, choice, expected, now_s)
 
-    def _failed(self, now_s):
+    def _failed_upstreams(self, now_s):
         for name, until_s in list(self._failed_until_s.items()):
             if until_s <= now_s:
                 del self._failed_until_s[name]
         return self._failed_until_s.keys()
 
-    def _asks(self, work, choice, expected, now_s):
+    def _build_plan(self, work, choice, expected, now_s):
         decode, prefill = choice.decode, choice.prefill
         step_s = self._load.get(decode.upstream_id, now_s=now_s).step_s
         kv_bytes = work.prompt_tokens * prefill.kv_bytes_per_token
-        ask = {
+        common = {
             "request_id": work.request_id,
             "caller": work.caller,
             "entry": self._entry,
@@ -334,22 +346,22 @@
                 pieces=-(-tokens // decode.tokens_per_piece),
                 kv_bytes=kv_bytes,
                 hold_s=self._estimates.hold_s(work, step_s),
-                **ask,
+                **common,
             ),
             prefill_ask=Ask(
                 prefill_tokens=int(work.prompt_tokens - choice.cached_tokens),
                 kv_bytes=kv_bytes,
-                **ask,
+                **common,
             ),
         )
 
-    def _ahead_s(self, work):
-        turns_s = sum(
-            turn.queued.cost_s
-            for turn in self._turns.values()
-            if turn.queued.work.caller == work.caller
+    def _cost_ahead_s(self, work):
+        dispatched_s = sum(
+            dispatch.queued.cost_s
+            for dispatch in self._dispatches.values()
+            if dispatch.queued.work.caller == work.caller
         )
-        return turns_s + self._queue.cost_ahead_s(work.caller)
+        return dispatched_s + self._queue.cost_ahead_s(work.caller)
 
 
 def _id(queued: Queued):
--- a/currantdeal/policy/tests/builders.py
+++ b/currantdeal/policy/tests/builders.py
@@ -1,11 +1,11 @@
-"""Builds work, upstreams and asks for tests of the decisions."""
+"""Builders of work, upstreams and reservations for policy tests."""
 
 from currantdeal.core import Role, Upstream, UpstreamKind, Work, WorkKind
 from currantdeal.policy import Ask
 
 
 def work(name="r1", caller="c", **changes):
-    """Return work of 800 prompt tokens that is due after ten seconds."""
+    """Return work of 800 prompt tokens with a deadline of ten seconds."""
     fields = {
         "kind": WorkKind.CHAT,
         "target": "m",
@@ -35,7 +35,7 @@
 
 
 def ask(name, caller="c", *, pieces=10, entry="i1", **changes):
-    """Return an ask for decode memory."""
+    """Return an ``Ask`` for decode memory."""
     return Ask(
         request_id=name, caller=caller, entry=entry, pieces=pieces, **changes
     )
--- a/currantdeal/policy/tests/test_ledger.py
+++ b/currantdeal/policy/tests/test_ledger.py
@@ -9,10 +9,10 @@
     return Ledger(limits=LedgerLimits(pieces_total=pieces, **limits))
 
 
-def test_resent_request_reserves_once():
-    """The answer to a reservation is lost and the entry asks again.
+def test_retried_reservation_is_granted_once():
+    """The response to a reservation is lost and the entry retries.
 
-    Reserved twice, half of the memory would stay held for nobody.
+    If the retry reserved memory again, memory would leak.
     """
     ledger = _ledger()
     first = ledger.reserve(ask("r1", pieces=60), now_s=0.0)
@@ -20,8 +20,8 @@
     assert ledger.pieces_free == 40
 
 
-def test_silent_entry_loses_its_grants():
-    """An entry dies with requests in flight; their memory must come back."""
+def test_grants_of_an_expired_entry_are_released():
+    """An entry crashes with requests in flight; their memory is released."""
     ledger = _ledger()
     ledger.reserve(ask("r1", entry="i1"), now_s=0.0)
     ledger.reserve(ask("r2", entry="i2"), now_s=0.0)
@@ -30,10 +30,11 @@
     assert ledger.pieces_free == 90
 
 
-def test_long_request_gets_its_turn_among_short_ones():
-    """Short requests take every piece that comes free.
+def test_long_request_is_not_starved_by_short_ones():
+    """Short requests compete with a long one for released memory.
 
-    A long one would never find enough at once and be refused in the end.
+    If each took the pieces as they are released, the long request would
+    never find enough at once and would be refused in the end.
     """
     ledger = _ledger()
     for number in range(10):
@@ -45,16 +46,16 @@
     for number in range(5):
         now_s = 0.1 * number + 0.05
         ledger.release(f"s{number}")
-        late = ledger.reserve(ask(f"t{number}", "short"), now_s=now_s)
-        assert isinstance(late, LedgerRefusal)
+        refused = ledger.reserve(ask(f"t{number}", "short"), now_s=now_s)
+        assert isinstance(refused, LedgerRefusal)
         given = ledger.reserve(ask("long", "patient", pieces=50), now_s=now_s)
     assert isinstance(given, LedgerGrant)
 
 
-def test_place_is_lost_by_whoever_asks_no_more():
-    """A waiting request went to another engine or its entry died.
+def test_waiter_that_stops_retrying_loses_its_place():
+    """A waiting request was placed on another engine, or its entry crashed.
 
-    Memory kept for it would stand idle.
+    Memory kept for it would stay idle.
     """
     ledger = _ledger()
     ledger.reserve(ask("r1", pieces=100), now_s=0.0)
@@ -68,10 +69,11 @@
     )
 
 
-def test_standstill_ends_with_the_latest_stream():
-    """All streams on an engine grew past what was expected and wait.
+def test_memory_deadlock_cancels_the_newest_stream():
+    """All streams on an engine outgrew their reservation and wait for memory.
 
-    None of them would ever end, and their callers hear nothing more.
+    None of them would ever end, and their callers would receive no more
+    output.
     """
     ledger = _ledger()
     ledger.reserve(ask("old", pieces=50), now_s=0.0)
@@ -84,18 +86,18 @@
     assert ledger.grow("old", pieces=1)
 
 
-def test_batch_is_bounded_by_the_time_between_outputs():
-    """Many small requests leave memory free while every step gets longer.
+def test_batch_size_is_limited_by_the_time_between_outputs():
+    """Many small requests leave memory free while each decode step slows down.
 
-    Every stream on the engine would miss its target.
+    Without a limit every stream on the engine would miss its target.
     """
     ledger = _ledger(output_gap_s=0.04)
     for running in (4, 8, 12):
         ledger.hear(running=running, step_s=0.012 + 0.002 * running)
-    answers = [
+    results = [
         ledger.reserve(ask(f"r{n}", pieces=1), now_s=0.0) for n in range(20)
     ]
-    granted = [one for one in answers if isinstance(one, LedgerGrant)]
+    granted = [result for result in results if isinstance(result, LedgerGrant)]
     assert len(granted) == 12
 
 
@@ -109,16 +111,16 @@
         max_size=60,
     )
 )
-def test_never_gives_out_more_than_there_is(steps):
+def test_reservations_never_exceed_the_memory(steps):
     ledger = _ledger()
-    for now_s, (what, number, pieces) in enumerate(steps):
+    for now_s, (operation, number, pieces) in enumerate(steps):
         name, entry = f"r{number}", f"i{number % 2}"
-        if what == "reserve":
-            wanted = ask(name, f"c{number}", entry=entry, pieces=pieces)
-            ledger.reserve(wanted, now_s=float(now_s))
-        elif what == "grow":
+        if operation == "reserve":
+            request = ask(name, f"c{number}", entry=entry, pieces=pieces)
+            ledger.reserve(request, now_s=float(now_s))
+        elif operation == "grow":
             ledger.grow(name, pieces=pieces)
-        elif what == "release":
+        elif operation == "release":
             ledger.release(name)
         else:
             ledger.drop_entry(entry)
--- a/currantdeal/policy/tests/test_scheduler.py
+++ b/currantdeal/policy/tests/test_scheduler.py
@@ -22,24 +22,24 @@
     )
 
 
-def _block(scheduler, plan, *, now_s, after_s=0.1):
+def _refuse(scheduler, plan, *, now_s, retry_after_s=0.1):
     scheduler.blocked(
         plan,
         plan.choice.decode.upstream_id,
-        retry_after_s=after_s,
+        retry_after_s=retry_after_s,
         now_s=now_s,
     )
 
 
-def test_plan_asks_for_decode_memory_of_prompt_and_output(scheduler):
+def test_plan_reserves_decode_memory_for_prompt_and_output(scheduler):
     scheduler.submit(work(), now_s=0.0)
     (plan,) = scheduler.poll(now_s=0.0)
     assert plan.decode_ask.pieces == -(-(800 + plan.output_tokens) // 16)
     assert plan.prefill_ask.prefill_tokens == 800
 
 
-def test_failed_engine_is_left_out_for_a_while(scheduler):
-    """A dead engine looks idle until its silence is noticed.
+def test_failed_engine_is_excluded_temporarily(scheduler):
+    """A dead engine looks idle until its missing reports are noticed.
 
     Work that is sent there is answered late or not at all.
     """
@@ -50,24 +50,24 @@
     assert {plan.choice.decode.upstream_id for plan in plans} == {"d2"}
 
 
-def test_refused_work_asks_elsewhere_and_then_waits(scheduler):
+def test_refused_work_tries_other_engines_and_then_waits(scheduler):
     scheduler.submit(work(), now_s=0.0)
     (first,) = scheduler.poll(now_s=0.0)
-    _block(scheduler, first, now_s=0.0)
+    _refuse(scheduler, first, now_s=0.0)
     (second,) = scheduler.poll(now_s=0.0)
     assert second.choice.decode != first.choice.decode
-    _block(scheduler, second, now_s=0.0, after_s=0.05)
+    _refuse(scheduler, second, now_s=0.0, retry_after_s=0.05)
     (wait,) = scheduler.poll(now_s=0.0)
     assert isinstance(wait, Wait)
     (again,) = scheduler.poll(now_s=wait.delay_s)
     assert again.choice.decode == second.choice.decode
 
 
-def test_blocked_hot_caller_delays_nobody_else(scheduler):
-    """A hot caller's work waits for a full engine.
+def test_waiting_hot_caller_does_not_delay_other_callers(scheduler):
+    """The work of a hot caller waits for a full engine.
 
-    Were it alone at the head of the queue, polite callers would be refused
-    for its sake.
+    If it took up all dispatches, other callers would be refused
+    (head-of-line blocking).
     """
     for number in range(9):
         scheduler.submit(work(f"h{number}", "hot"), now_s=0.0)
@@ -78,24 +78,25 @@
     assert isinstance(polite, Plan) and polite.work.caller == "polite"
 
 
-def test_work_that_cannot_be_in_time_is_given_up_before_it_runs(scheduler):
-    """Engines stay full until it is too late for a waiting request.
+def test_work_that_would_miss_its_deadline_is_given_up(scheduler):
+    """Engines stay full until a waiting request would miss its deadline.
 
-    Started all the same, it would cost a prefill and be answered late.
+    If it were started anyway, it would waste a prefill and be answered late.
     """
     scheduler.submit(work(deadline_s=1.0), now_s=0.0)
     (plan,) = scheduler.poll(now_s=0.0)
-    _block(scheduler, plan, now_s=0.95)
+    _refuse(scheduler, plan, now_s=0.95)
     (message,) = scheduler.poll(now_s=0.95)
     assert isinstance(message, GiveUp)
     assert message.refused.retry_after_s >= 1.0
     assert scheduler.waiting == 0
 
 
-def test_callers_share_by_their_weights():
-    """A caller pays for more than another one.
+def test_callers_are_served_in_proportion_to_their_weights():
+    """A caller has a higher weight than another one.
 
-    Were its weight dropped on the way, it would get no more than the rest.
+    If the scheduler dropped the given queue, which holds the weights, both
+    callers would get the same share.
     """
     queue = FairQueue(weights={"gold": 3.0})
     scheduler = Scheduler(
--- a/currantdeal/policy/waiters.py
+++ b/currantdeal/policy/waiters.py
@@ -1,29 +1,31 @@
-"""Who is next when an upstream has room again.
-
-The load pattern is a full engine that many requests ask for.  Whoever asks in
-the right moment gets what was freed: a hot caller that asks from many entries
-gets most of it, and a long request never finds enough at once, because short
-ones take every piece that comes free.
-
-So a refused request waits here as long as it asks again, and what comes free
-is kept for the one whose turn it is.  The turn goes to the caller that used
-least of this upstream lately, and within a caller to whoever waits longest;
-a long request is thus passed by others, but not by its own caller's, and only
-until they have used as much.  Use is halved every ten seconds, about the
-time for which a stream holds memory.
-
-A request that asks no more loses its place after 0.15 s, which is several
-round trips between regions: longer, and room would be kept for requests that
-went elsewhere.
+"""Choose which waiting request an upstream grants next.
+
+Load pattern: contention for a full engine, with a noisy neighbour and
+starvation of large requests.  If released memory went to whichever request
+comes next, a hot caller that requests from many entries would get most of it,
+and a long request would never find enough at once, because short ones take
+each piece as it is released.
+
+So a refused request keeps a place here as long as it retries, and released
+memory is kept for the request that is next.  The next one belongs to the
+caller with the least recent usage of this upstream; among the requests of a
+caller it is the one that has waited longest.  A long request is thus overtaken
+by requests of other callers, but not by those of its own caller, and only
+until the others have used as much.  Usage decays with a half-life of ten
+seconds, about the time for which a stream holds memory.
+
+A request that does not retry loses its place after 0.15 s, which is several
+round trips between regions.  With a longer time, memory would be kept for
+requests that were placed on other engines.
 """
 
 from dataclasses import dataclass
 
 from currantdeal.core import CallerId, RequestId
 
-KEPT_S = 0.15
-USE_DECAY_S = 10.0
-FORGET_USE = 1e-3
+WAITER_TTL_S = 0.15
+USAGE_HALF_LIFE_S = 10.0
+NEGLIGIBLE_USAGE = 1e-3
 MAX_CALLERS = 1_024
 
 
@@ -33,26 +35,26 @@
 
     Parameters
     ----------
-    first_s, last_s : float
-        Monotonic times at which it first and last asked.
+    first_request_s, last_request_s : float
+        Monotonic times of its first and its last reservation request.
     """
 
     request_id: RequestId
     caller: CallerId
-    first_s: float
-    last_s: float
+    first_request_s: float
+    last_request_s: float
 
 
 class Waiters:
-    """Requests that wait for one upstream, and what callers used of it.
+    """Requests that wait for one upstream, and the usage of their callers.
 
     Examples
     --------
     >>> from currantdeal.policy import Waiters
     >>> waiters = Waiters()
-    >>> waiters.used("hot", 5.0, now_s=0.0)
-    >>> waiters.wait("h1", "hot", now_s=0.0)
-    >>> waiters.wait("p1", "polite", now_s=0.05)
+    >>> waiters.charge("hot", 5.0, now_s=0.0)
+    >>> waiters.enqueue("h1", "hot", now_s=0.0)
+    >>> waiters.enqueue("p1", "polite", now_s=0.05)
     >>> waiters.is_next("h1", "hot", now_s=0.1)
     False
     >>> waiters.is_next("p1", "polite", now_s=0.1)
@@ -60,57 +62,61 @@
     """
 
     def __init__(self):
-        """Start with nobody waiting."""
+        """Start without waiters and usage."""
         self._waiting = {}
-        self._use = {}
+        self._usage = {}
 
-    def wait(self, request_id, caller, *, now_s):
-        """Take or keep a place."""
-        known = self._waiting.get(request_id)
+    def enqueue(self, request_id, caller, *, now_s):
+        """Add a refused request, or renew its place."""
+        existing = self._waiting.get(request_id)
         self._waiting[request_id] = Waiter(
             request_id=request_id,
             caller=caller,
-            first_s=known.first_s if known else now_s,
-            last_s=now_s,
+            first_request_s=existing.first_request_s if existing else now_s,
+            last_request_s=now_s,
         )
 
-    def leave(self, request_id):
-        """Give a place up."""
+    def remove(self, request_id):
+        """Remove a request."""
         self._waiting.pop(request_id, None)
 
     def is_next(self, request_id, caller, *, now_s):
-        """Return whether nobody who waits comes before a request."""
-        self._forget_silent(now_s)
-        known = self._waiting.get(request_id)
-        mine = (self._use_of(caller, now_s), known.first_s if known else now_s)
+        """Return whether no waiting request comes before this one."""
+        self._remove_expired(now_s)
+        existing = self._waiting.get(request_id)
+        own_rank = (
+            self._usage_of(caller, now_s),
+            existing.first_request_s if existing else now_s,
+        )
         return all(
-            mine <= (self._use_of(other.caller, now_s), other.first_s)
+            own_rank
+            <= (self._usage_of(other.caller, now_s), other.first_request_s)
             for other in self._waiting.values()
         )
 
-    def used(self, caller, cost_s, *, now_s):
-        """Take in that a caller was granted some engine time."""
-        if len(self._use) >= MAX_CALLERS:
-            self._forget_unused(now_s)
-        self._use[caller] = (self._use_of(caller, now_s) + cost_s, now_s)
+    def charge(self, caller, cost_s, *, now_s):
+        """Add granted engine time to the usage of a caller."""
+        if len(self._usage) >= MAX_CALLERS:
+            self._remove_idle_callers(now_s)
+        self._usage[caller] = (self._usage_of(caller, now_s) + cost_s, now_s)
 
-    def _use_of(self, caller, now_s):
-        use, since_s = self._use.get(caller, (0.0, now_s))
-        return use * 0.5 ** ((now_s - since_s) / USE_DECAY_S)
+    def _usage_of(self, caller, now_s):
+        usage, since_s = self._usage.get(caller, (0.0, now_s))
+        return usage * 0.5 ** ((now_s - since_s) / USAGE_HALF_LIFE_S)
 
-    def _forget_silent(self, now_s):
-        oldest_s = now_s - KEPT_S
-        silent = [
+    def _remove_expired(self, now_s):
+        cutoff_s = now_s - WAITER_TTL_S
+        expired = [
             name
             for name, waiter in self._waiting.items()
-            if waiter.last_s < oldest_s
+            if waiter.last_request_s < cutoff_s
         ]
-        for name in silent:
+        for name in expired:
             del self._waiting[name]
 
-    def _forget_unused(self, now_s):
-        self._use = {
-            caller: (self._use_of(caller, now_s), now_s)
-            for caller in self._use
-            if self._use_of(caller, now_s) > FORGET_USE
+    def _remove_idle_callers(self, now_s):
+        self._usage = {
+            caller: (self._usage_of(caller, now_s), now_s)
+            for caller in self._usage
+            if self._usage_of(caller, now_s) > NEGLIGIBLE_USAGE
         }
