--- a/currantdeal/policy/crash_book.py
+++ b/currantdeal/policy/crash_book.py
@@ -1,61 +1,65 @@
-"""Which requests crash the upstreams that run them.
-
-Load pattern: query of death.  A request ends each process that begins to run
-it, and its caller sends it again, to any entry.  Every repeat takes an
-upstream away, with all that runs there, until a few callers keep a whole
-service down.  Outlier detection makes it worse: it blames the upstream.
-
-A request is told from its repeats by its fingerprint.  Each upstream that ends
-counts against the requests that had begun there.  One that is lost with three
-upstreams and completes nowhere is quarantined, unless another request explains
-the same crashes.  What a request completes clears it of the crashes before, so
-one that is merely popular, and thus beside many crashes, stays clear.
-
-Another release of the upstreams may have mended it.  Once all of a service run
-software that has not crashed under it, it is run again; if that crashes, too,
-it stays in quarantine whatever is released.
-
-What is known only grows, and two books that exchanged their records hold the
-same, in whatever order those came.  No leader and no clock takes part in it.
+"""Detection and quarantine of requests that crash upstreams.
+
+Load pattern: query of death.  A request crashes every process that starts to
+run it, and its caller retries it at any entry.  Each retry takes down one more
+upstream with all requests that run there, until a few callers keep a whole
+service down.  Outlier detection makes it worse, since it attributes the
+failure to the upstream.
+
+A request and its retries are identified by their fingerprint.  Each crash of
+an upstream counts against the requests that it had started to run.  A request
+that was lost in the crashes of three upstreams and never completed is
+quarantined, unless another request may have caused the same crashes.  A
+completion clears a request of all its earlier crashes, so a request that was
+present at many crashes only because it is frequent is not quarantined.
+
+Another release of the upstreams may have fixed the fault.  Once all upstreams
+of a service run software that has not crashed under a quarantined request, it
+is run again; if it crashes that release, too, it stays in quarantine for all
+later releases.
+
+Records only grow, and merging them is commutative: two books that have
+exchanged their records have the same state, whatever the order of delivery.
+This needs neither a leader nor a clock.
 """
 
 from dataclasses import dataclass
 
 EARLY_WEIGHT = 3
-"""Weight of an upstream that ended before it sent output for a request."""
+"""Weight of the crash of an upstream that had sent no output for a request."""
 
 LATE_WEIGHT = 1
-"""Weight of one that ended after it had sent output for it."""
+"""Weight of the crash of an upstream that had sent output for a request."""
 
 QUARANTINE_SCORE = 3 * EARLY_WEIGHT
-"""Weight of the crashes from which a request is quarantined."""
+"""Total weight of crashes at which a request is quarantined."""
 
 CERTAIN_SCORE = 5 * EARLY_WEIGHT
-"""Weight from which requests that were beside each other at each crash are
+"""Total weight at which requests that were present at the same crashes are
 all quarantined."""
 
 MAX_QUARANTINED = 512
-"""Requests in quarantine; the one that was changed longest ago is dropped."""
+"""Limit of quarantined requests; the least recently changed is dropped."""
 
 MAX_SUSPECTS = 512
-"""Other requests in a book; one of the lowest score is dropped."""
+"""Limit of other requests in a book; one with the lowest score is dropped."""
 
 MAX_CRASHES = 32
-"""Crashes, and cleared crashes, that are kept for one request."""
+"""Limit of crashes, and of cleared crashes, that are kept per request."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Crash:
-    """The end of an upstream that ran a request.
+    """The crash of an upstream that ran a request.
 
     Parameters
     ----------
     started_ms : int
-        Unix time of the start of its process.
+        Unix time at which the process started.
     early : bool
-        True if it had sent no output for the request.
+        True if the upstream had sent no output for the request.
     software : str
-        Version of the software that it ran, or empty.
+        Version of the software of the upstream, or empty.
     """
 
     upstream: str
@@ -65,25 +69,25 @@
 
     @property
     def incarnation(self):
-        """The process that ended."""
+        """Identity of the process that crashed."""
         return (self.upstream, self.started_ms)
 
     @property
     def weight(self):
-        """How much it counts against the request."""
+        """Weight of this crash in the score of the request."""
         return EARLY_WEIGHT if self.early else LATE_WEIGHT
 
 
 @dataclass(frozen=True, kw_only=True)
 class SuspectRecord:
-    """What is known of one request.
+    """Crash history of one request.
 
     Parameters
     ----------
     crashes : tuple of Crash
-        Upstreams that ended while they ran it.
+        Crashes of upstreams while they ran the request.
     cleared : tuple of Crash
-        Those after which it completed.
+        Crashes that were followed by a completion of the request.
     """
 
     fingerprint: bytes
@@ -92,7 +96,7 @@
 
 
 class CrashBook:
-    """What one process knows of requests and crashes.
+    """Crash history of all requests, as one process has it.
 
     Examples
     --------
@@ -108,14 +112,14 @@
     """
 
     def __init__(self):
-        """Suspect nobody."""
+        """Start without suspects."""
         self._suspects = {}
         self._quarantined = set()
-        self._beside = {}
+        self._by_incarnation = {}
 
     @property
     def quarantined(self):
-        """Fingerprints of the requests that are not to be run."""
+        """Fingerprints of the quarantined requests."""
         return frozenset(self._quarantined)
 
     @property
@@ -128,7 +132,7 @@
         return len(self._suspects)
 
     def is_quarantined(self, fingerprint):
-        """Return whether a request is not to be run."""
+        """Return whether a request is quarantined."""
         return fingerprint in self._quarantined
 
     def is_suspect(self, fingerprint):
@@ -142,13 +146,13 @@
         Parameters
         ----------
         software : iterable of str
-            Versions of the software that the upstreams of its service run.
+            Software versions of the upstreams of its service.
         """
         if fingerprint not in self._quarantined:
             return True
         crashed = {crash.software for crash in self.crashes(fingerprint)}
-        released = bool(software) and crashed.isdisjoint(software)
-        return released and len(crashed) == 1
+        upgraded = bool(software) and crashed.isdisjoint(software)
+        return upgraded and len(crashed) == 1
 
     def crashes(self, fingerprint):
         """Return the crashes that count against a request."""
@@ -156,12 +160,12 @@
         return tuple(suspect.crashes.values()) if suspect else ()
 
     def score(self, fingerprint, *, without=None):
-        """Return the weight of the crashes that count against a request.
+        """Return the total weight of the crashes that count against a request.
 
         Parameters
         ----------
         without : tuple or None
-            Incarnation of which the crash is left out.
+            Incarnation whose crash is left out.
         """
         return sum(
             crash.weight
@@ -170,13 +174,16 @@
         )
 
     def add_crash(self, fingerprint, crash):
-        """Count a crash; returns the records that it changed."""
+        """Add a crash of a request; returns the changed records."""
         return self.merge(
             (SuspectRecord(fingerprint=fingerprint, crashes=(crash,)),)
         )
 
     def add_completion(self, fingerprint):
-        """Clear a request that completed; returns the changed records."""
+        """Clear the crashes of a completed request; returns changed records.
+
+        A request without crashes changes nothing.
+        """
         crashes = self.crashes(fingerprint)
         if not crashes:
             return ()
@@ -185,45 +192,45 @@
         )
 
     def merge(self, records):
-        """Take in what another book holds; returns what was news here."""
+        """Merge records of another book; returns those that changed here."""
         changed = {}
         for record in records:
-            suspect = self._take(record)
+            suspect = self._merge_one(record)
             if suspect is not None:
                 changed[record.fingerprint] = suspect.record
-        self._drop_least()
+        self._enforce_limits()
         return tuple(changed.values())
 
-    def _take(self, record):
-        """Merge one record; returns the suspect, or None if it was no news."""
+    def _merge_one(self, record):
+        """Merge one record; returns the suspect, or None if unchanged."""
         suspect = self._suspects.get(record.fingerprint)
         if suspect is None:
             suspect = _Suspect(fingerprint=record.fingerprint)
         before = set(suspect.crashes)
-        if not suspect.take(record):
+        if not suspect.merge(record):
             return None
-        # The latest change moves to the end.
+        # The dict is kept in order of the latest change.
         self._suspects.pop(record.fingerprint, None)
         self._suspects[record.fingerprint] = suspect
-        self._index(suspect, before)
-        self._judge(before.union(suspect.crashes), suspect)
+        self._update_index(suspect, before)
+        self._update_quarantine(before.union(suspect.crashes), suspect)
         return suspect
 
-    def _index(self, suspect, before):
+    def _update_index(self, suspect, before):
         for incarnation in before.difference(suspect.crashes):
-            beside = self._beside[incarnation]
-            beside.discard(suspect.fingerprint)
-            if not beside:
-                del self._beside[incarnation]
+            present = self._by_incarnation[incarnation]
+            present.discard(suspect.fingerprint)
+            if not present:
+                del self._by_incarnation[incarnation]
         for incarnation in suspect.crashes:
-            beside = self._beside.setdefault(incarnation, set())
-            beside.add(suspect.fingerprint)
+            present = self._by_incarnation.setdefault(incarnation, set())
+            present.add(suspect.fingerprint)
 
-    def _judge(self, incarnations, changed):
-        """Judge a request, and those that were beside it at crashes."""
+    def _update_quarantine(self, incarnations, changed):
+        """Reassess a request and all that were present at the same crashes."""
         affected = {changed.fingerprint}
         for incarnation in incarnations:
-            affected.update(self._beside.get(incarnation, ()))
+            affected.update(self._by_incarnation.get(incarnation, ()))
         for fingerprint in affected:
             if self._is_culprit(self._suspects[fingerprint]):
                 self._quarantined.add(fingerprint)
@@ -233,15 +240,19 @@
     def _is_culprit(self, suspect):
         if suspect.score < QUARANTINE_SCORE:
             return False
-        beside = set().union(*(self._beside[key] for key in suspect.crashes))
-        beside.discard(suspect.fingerprint)
-        return not any(_explains(self._suspects[o], suspect) for o in beside)
+        present = set().union(
+            *(self._by_incarnation[key] for key in suspect.crashes)
+        )
+        present.discard(suspect.fingerprint)
+        return not any(
+            _may_have_caused(self._suspects[o], suspect) for o in present
+        )
 
-    def _drop_least(self):
-        """Drop what is beyond the bounds.
+    def _enforce_limits(self):
+        """Drop records beyond ``MAX_QUARANTINED`` and ``MAX_SUSPECTS``.
 
-        The two are bounded apart, so that a full quarantine leaves room to
-        find the next culprit.
+        The limits are separate, so that a full quarantine leaves room to
+        detect the next culprit.
         """
         while len(self._quarantined) > MAX_QUARANTINED:
             self._drop(
@@ -253,15 +264,15 @@
                 for suspect in self._suspects.values()
                 if suspect.fingerprint not in self._quarantined
             )
-            least = min(others, key=lambda suspect: suspect.score)
-            self._drop(least.fingerprint)
+            lowest = min(others, key=lambda suspect: suspect.score)
+            self._drop(lowest.fingerprint)
 
     def _drop(self, fingerprint):
         suspect = self._suspects.pop(fingerprint)
         self._quarantined.discard(fingerprint)
         before = set(suspect.crashes)
         suspect.crashes = {}
-        self._index(suspect, before)
+        self._update_index(suspect, before)
 
 
 class _Suspect:
@@ -279,44 +290,46 @@
             cleared=tuple(self.cleared.values()),
         )
 
-    def take(self, record):
-        """Merge a record; returns whether it brought news."""
+    def merge(self, record):
+        """Merge a record; returns whether it changed this one."""
         before = (self.crashes, self.cleared)
         cleared = {c.incarnation: c for c in record.cleared}
-        self.cleared = _latest({**cleared, **self.cleared})
+        self.cleared = _keep_latest({**cleared, **self.cleared})
         crashes = dict(self.crashes)
         for crash in record.crashes:
-            known = crashes.get(crash.incarnation)
-            if known is None or known.weight < crash.weight:
+            existing = crashes.get(crash.incarnation)
+            if existing is None or existing.weight < crash.weight:
                 crashes[crash.incarnation] = crash
         for incarnation in self.cleared:
             crashes.pop(incarnation, None)
-        self.crashes = _latest(crashes)
+        self.crashes = _keep_latest(crashes)
         self.score = sum(c.weight for c in self.crashes.values())
         return before != (self.crashes, self.cleared)
 
 
-def _explains(other, suspect):
-    """Return whether another request may be the cause of too many crashes.
+def _may_have_caused(other, suspect):
+    """Return whether another request may have caused a suspect's crashes.
 
-    Two requests that were beside each other at each crash are told apart by
-    the next one.
+    It may not if the suspect has enough crashes without the other one to be
+    quarantined for these alone.  Two requests that were present at the same
+    crashes protect each other until one of them has a further crash, or both
+    reach ``CERTAIN_SCORE``.
     """
     if other is suspect or other.score < suspect.score:
         return False
-    own = sum(
+    unshared = sum(
         crash.weight
         for key, crash in suspect.crashes.items()
         if key not in other.crashes
     )
-    if own >= QUARANTINE_SCORE:
+    if unshared >= QUARANTINE_SCORE:
         return False
     tied = other.score == suspect.score
     return not (tied and suspect.score >= CERTAIN_SCORE)
 
 
-def _latest(crashes):
-    """Return the crashes to keep: the same ones in every book."""
+def _keep_latest(crashes):
+    """Return the latest crashes, the same ones in every book."""
     if len(crashes) <= MAX_CRASHES:
         return crashes
     order = sorted(crashes, key=lambda key: (key[1], key[0]), reverse=True)
--- a/currantdeal/policy/decode_memory.py
+++ b/currantdeal/policy/decode_memory.py
@@ -1,63 +1,67 @@
 """Order in which an entry requests KV cache memory of decode engines.
 
 Load pattern: burst on shared KV cache memory.  Many entries share the engines,
-a stream holds memory for seconds, and load reports are too old to place by.
+a stream holds memory for seconds, and load reports are too old for placement.
 So memory is reserved at the engine itself before the prompt is prefilled, and
-the engine has the last word.
+the engine's answer is authoritative.
 
-What is reserved is the prompt and a part of the expected output
-(``OUTPUT_SHARE``).  A reservation is charged in full from the beginning, while
-a stream grows into it; streams on an engine are at different points of their
-output, so that the rest of one is free when another needs it.
+A reservation covers the prompt and a part of the expected output
+(``OUTPUT_SHARE``).  It is charged in full from the beginning, while the stream
+fills it gradually; the streams of an engine are at different points of their
+output, so the unused part of one reservation is free when another stream
+exceeds its own.
 """
 
 import math
 from dataclasses import dataclass
 
-from currantdeal.policy.spread_choice import spread_groups
+from currantdeal.policy.spread_choice import order_groups_by_choices
 
 OUTPUT_SHARE = 0.5
 """Share of the expected output that is reserved."""
 
 UNKNOWN_OUTPUT_SHARE = 0.35
-"""Share of the allowed output that is expected where nothing is known."""
+"""Share of the allowed output that is expected without an estimate."""
 
 FULL_ENGINE_BACKOFF_S = 0.15
-"""Delay before an engine without free memory is preferred again."""
+"""Time for which an engine that refused a reservation comes last."""
 
 FULL = 0.95
-"""Share of an engine's memory that generations may claim in all.
+"""Share of an engine's memory that all its reservations may use.
 
-A claim is the mean size of a stream over its life; the rest is for engines
-whose streams are all near their end.
+A reservation is the mean size of a stream over its life; the rest is headroom
+for engines whose streams are all near their end.
 """
 
-FAR_SHARE = 0.25
+CROSS_REGION_SHARE = 0.25
 """Share of memory that an engine in another region must have more free.
 
 Reservation, prompt and stream each cost a round trip between regions.
 """
 
-PREFILLING_SHARE = 0.3
+PREFILL_SHARE = 0.3
 """Share of memory that an engine must have more free while it prefills.
 
-A prompt that it is to prefill itself waits for the other one.
+A prompt that it has to prefill locally waits for the one in progress.
 """
 
-CONNECTED_SHARE = 0.1
+NEW_CONNECTION_SHARE = 0.1
 """Share of memory that an engine without an open connection must have more
 free."""
 
 JITTER_SHARE = 0.1
-"""Random share of memory, so that entries do not choose alike."""
+"""Random share of memory, so that entries choose different engines."""
 
-UNKNOWN_CAPACITY = 30_000
-"""Memory of an engine that does not report its own, in tokens."""
+DEFAULT_CAPACITY = 30_000
+"""Memory of an engine whose capacity is unknown, in tokens."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class GenerationSize:
-    """Tokens of one generation."""
+    """Token counts of one generation.
+
+    ``expected_output_tokens`` is 0 without an estimate.
+    """
 
     prompt_tokens: int
     max_output_tokens: int
@@ -67,6 +71,13 @@
 def tokens_to_reserve(size, kv_tokens):
     """Return the tokens to reserve for a generation.
 
+    Parameters
+    ----------
+    size : GenerationSize
+        Its prompt and output.
+    kv_tokens : int
+        Memory of an engine, the upper limit; 0 if unknown.
+
     Examples
     --------
     >>> size = GenerationSize(prompt_tokens=3000, max_output_tokens=3060,
@@ -78,17 +89,17 @@
     if not expected:
         expected = UNKNOWN_OUTPUT_SHARE * size.max_output_tokens
     expected = min(expected, size.max_output_tokens)
-    wanted = size.prompt_tokens + round(OUTPUT_SHARE * expected)
-    return min(wanted, kv_tokens) if kv_tokens else wanted
+    needed = size.prompt_tokens + round(OUTPUT_SHARE * expected)
+    return min(needed, kv_tokens) if kv_tokens else needed
 
 
 class DecodeMemory:
-    """In which order one entry asks decode engines for memory.
+    """Orders decode engines for the reservations of one entry.
 
     Parameters
     ----------
     load : currantdeal.policy.shared_load.EntryLoad
-        What is held at each engine.
+        Load of each engine.
 
     Examples
     --------
@@ -107,12 +118,12 @@
     """
 
     def __init__(self, *, load):
-        """Start without a refusal."""
+        """Start without refusals."""
         self._load = load
         self._refused_s = {}
 
     def refused(self, upstream, *, now_s):
-        """Note that an engine had no room."""
+        """Record that an engine refused a reservation."""
         self._refused_s[upstream] = now_s
 
     def order(
@@ -128,63 +139,63 @@
         reading=None,
         connected=None,
     ):
-        """Return engines in the order in which to ask for memory.
+        """Return engines in the order in which to request memory.
 
-        Engines that are believed to have no room are left out.  Those that
-        several entries could not reach, or that refused a moment ago, come
-        last.
+        Engines without room by the current sums are left out.  Engines that
+        several entries could not reach, or that refused a reservation less
+        than ``FULL_ENGINE_BACKOFF_S`` ago, come last.
 
         Parameters
         ----------
         tokens : int
-            Memory that is wanted.
+            Memory to reserve.
         capacity : int
             Memory of each engine; 0 if unknown.
         distance : callable
             0 for an engine in this data centre, 1 in this region, 2
             elsewhere.
         full : float
-            Share of its memory up to which an engine has room; one that
-            holds nothing always has.
+            Share of its memory up to which an engine has room; an idle engine
+            always has.
         reading : callable or None
             Whether an engine prefills a prompt that this one would wait for.
         connected : callable or None
             Whether there is an open connection to an engine.
         """
         load = self._load
-        whole = capacity or UNKNOWN_CAPACITY
-        known = capacity and load.knows_others(now_s=now_s)
+        memory_tokens = capacity or DEFAULT_CAPACITY
+        loads_known = capacity and load.has_current_sums(now_s=now_s)
 
         def has_room(upstream):
             held = load.tokens(upstream, now_s=now_s)
-            return not held or held + tokens <= full * whole
+            return not held or held + tokens <= full * memory_tokens
 
-        def is_doubtful(upstream):
-            since_s = now_s - self._refused_s.get(upstream, -math.inf)
+        def is_deferred(upstream):
+            since_refusal_s = now_s - self._refused_s.get(upstream, -math.inf)
             suspect = load.is_suspect(upstream, now_s=now_s)
-            return suspect or since_s < FULL_ENGINE_BACKOFF_S
+            return suspect or since_refusal_s < FULL_ENGINE_BACKOFF_S
 
         costs = {}
         groups = {False: {}, True: {}}
         for upstream in upstreams:
-            if known and not has_room(upstream):
+            if loads_known and not has_room(upstream):
                 continue
             far = distance(upstream) == 2
-            open_already = connected is not None and connected(upstream)
+            is_connected = connected is not None and connected(upstream)
             busy = reading is not None and reading(upstream)
             costs[upstream] = (
-                load.tokens(upstream, now_s=now_s) / whole
-                + FAR_SHARE * far
-                + PREFILLING_SHARE * busy
-                - CONNECTED_SHARE * open_already
+                load.tokens(upstream, now_s=now_s) / memory_tokens
+                + CROSS_REGION_SHARE * far
+                + PREFILL_SHARE * busy
+                - NEW_CONNECTION_SHARE * is_connected
             )
-            alike = groups[is_doubtful(upstream)]
-            alike.setdefault((far, open_already), []).append(upstream)
+            group = groups[is_deferred(upstream)]
+            group.setdefault((far, is_connected), []).append(upstream)
         return [
             upstream
-            for doubtful in (False, True)
-            for upstream in spread_groups(
-                groups[doubtful].values(),
+            for deferred in (False, True)
+            for upstream in order_groups_by_choices(
+                groups[deferred].values(),
                 cost=costs.get,
                 random=random,
                 unseen=load.unseen(tokens, now_s=now_s),
--- a/currantdeal/policy/demand.py
+++ b/currantdeal/policy/demand.py
@@ -1,49 +1,52 @@
-"""Demand of generations on prefill and decode engines, as measured.
+"""Measurement of the demand of generations on prefill and decode engines.
 
-An entry measures its own generations: how long a prompt takes an engine that
-has nothing else to do, and for how long a stream holds how much memory.
+An entry measures its own generations: the time that an idle engine needs to
+prefill a prompt, and the memory that a stream holds and for how long.
 
-Generations that were refused for want of decode memory count as the mean of
-those that ran.  Otherwise a pool that refuses half of its callers would look
-half as loaded as it is.  Towards the prefill engines only prompts count that
-were sent there, since refused ones are never prefilled.
+Generations that were refused for lack of decode memory count like the average
+of those that ran.  Otherwise a pool that refuses half of its callers would
+seem half as loaded as it is.  The demand on prefill engines includes only
+prompts that were sent to them, since refused ones are never prefilled.
 
-The speed of an idle engine shows only where one was idle, and an entry that
-has seen one prompt or two may have met queues only.  So the fastest prefill of
-all entries counts.
+The speed of an idle engine can only be measured at an idle one, and an entry
+that has sent only a prompt or two may have measured time in queues.  So the
+fastest prefill of all entries is used.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-ENOUGH_ENDED = 10
-"""Streams that must have ended before their memory is taken for the mean."""
+MIN_ENDED_STREAMS = 10
+"""Ended streams from which their average memory is used as an estimate."""
 
-MOST_SCALE = 3.0
-"""Most by which refused generations are added to those that ran.
+MAX_REFUSED_SCALE = 3.0
+"""Limit of the factor by which refused generations increase the demand.
 
-Callers who were refused come back, and each return counts again.
+Refused callers retry, and each retry is counted again.
 """
 
-SLOWER = 1.02
-"""Factor by which the fastest prefill seen is forgotten with each prompt."""
+S_PER_TOKEN_GROWTH = 1.02
+"""Factor by which the shortest time measured may grow with each prompt.
+
+So the estimate follows engines that become slower.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Demand:
-    """What was asked for in some span of time.
+    """Demand measured in a span of time.
 
     Parameters
     ----------
     offered, ended : int
-        Generations that began to be handled, and that ended whole.
+        Generations that were received, and that completed.
     prompt_tokens : int
-        Tokens of the prompts that were read.
+        Tokens of the prompts that were prefilled.
     s_per_token : float
-        Shortest time seen for reading a token, in seconds; 0 if none was.
+        Shortest time measured to prefill a token, in seconds; 0 if none.
     memory_token_s : float
-        Tokens of memory times the seconds for which they were held, of those
-        that ended.
+        Tokens of memory times the seconds for which they were held, of the
+        generations that completed.
     """
 
     offered: int = 0
@@ -58,12 +61,12 @@
             offered=self.offered + other.offered,
             ended=self.ended + other.ended,
             prompt_tokens=self.prompt_tokens + other.prompt_tokens,
-            s_per_token=_faster(self.s_per_token, other.s_per_token),
+            s_per_token=_min_known(self.s_per_token, other.s_per_token),
             memory_token_s=self.memory_token_s + other.memory_token_s,
         )
 
 
-def _faster(one, other):
+def _min_known(one, other):
     known = [speed for speed in (one, other) if speed > 0.0]
     return min(known, default=0.0)
 
@@ -85,44 +88,44 @@
     """
 
     def __init__(self):
-        """Start without a measurement."""
+        """Start without measurements."""
         self._s_per_token = None
         self._demand = Demand()
 
     @property
     def s_per_token(self):
-        """Time in which an idle engine reads a token; None if unknown."""
+        """Time in which an idle engine prefills a token; None if unknown."""
         return self._s_per_token
 
     def offer(self):
-        """Note a generation that a caller asked for."""
+        """Record a generation that a caller requested."""
         self._demand += Demand(offered=1)
 
     def read(self, prompt_tokens, took_s):
-        """Note that a prefill engine read a prompt."""
+        """Record that a prefill engine prefilled a prompt."""
         if prompt_tokens <= 0:
             return
         self._demand += Demand(prompt_tokens=prompt_tokens)
-        seen = took_s / prompt_tokens
-        known = self._s_per_token
-        if known is None or seen < known:
-            self._s_per_token = seen
+        measured = took_s / prompt_tokens
+        shortest = self._s_per_token
+        if shortest is None or measured < shortest:
+            self._s_per_token = measured
         else:
-            self._s_per_token = min(seen, known * SLOWER)
+            self._s_per_token = min(measured, shortest * S_PER_TOKEN_GROWTH)
 
     def end(self, tokens, held_s):
-        """Note that a stream ended that held memory for a time."""
+        """Record a completed stream and the memory that it held."""
         self._demand += Demand(ended=1, memory_token_s=tokens * held_s)
 
     def take(self):
-        """Return the demand since the last call."""
+        """Return the demand since the last call, and reset it."""
         speed = Demand(s_per_token=self._s_per_token or 0.0)
         taken, self._demand = self._demand + speed, Demand()
         return taken
 
 
 class DemandWindow:
-    """Demand of the last seconds, summed over all entries.
+    """Sliding window of demand, summed over all entries.
 
     Parameters
     ----------
@@ -145,37 +148,40 @@
         self._first_s = None
 
     def is_full(self, *, now_s):
-        """Return whether demand has been there for a whole window.
+        """Return whether the first demand is a whole window old.
 
-        Before that the streams that ended are the short ones.
+        Before that mostly short streams have ended, which biases the average.
         """
         first_s = self._first_s
         return first_s is not None and now_s - first_s >= self._window_s
 
     def add(self, demand, *, now_s):
-        """Add what was measured until now."""
+        """Add demand that was measured up to now."""
         if demand.offered or demand.ended:
             self._parts.append((now_s, demand))
             if self._first_s is None:
                 self._first_s = now_s
 
     def total(self, *, now_s):
-        """Return the sum over the window."""
+        """Return the demand summed over the window."""
         while self._parts and self._parts[0][0] <= now_s - self._window_s:
             self._parts.popleft()
         return sum((demand for _, demand in self._parts), Demand())
 
 
 @dataclass(frozen=True, kw_only=True)
-class Busy:
-    """Engines that a demand keeps busy all the time, of either stage."""
+class BusyEngines:
+    """Number of engines of each stage that a demand keeps fully busy."""
 
     prefill: float
     decode: float
 
 
 def busy_engines(demand, *, window_s, kv_tokens):
-    """Return how many engines a demand keeps busy; None if that is unknown.
+    """Return how many engines a demand keeps busy, or None if unknown.
+
+    It is unknown before ``MIN_ENDED_STREAMS`` have ended, or without the
+    memory of an engine.
 
     Parameters
     ----------
@@ -189,13 +195,13 @@
     >>> demand = Demand(offered=20, ended=10, prompt_tokens=50_000,
     ...                 s_per_token=0.0001, memory_token_s=100_000.0)
     >>> busy_engines(demand, window_s=10.0, kv_tokens=10_000)
-    Busy(prefill=0.5, decode=2.0)
+    BusyEngines(prefill=0.5, decode=2.0)
     """
-    if demand.ended < ENOUGH_ENDED or not kv_tokens:
+    if demand.ended < MIN_ENDED_STREAMS or not kv_tokens:
         return None
-    refused = min(MOST_SCALE, max(1.0, demand.offered / demand.ended))
-    memory = demand.memory_token_s * refused
-    return Busy(
+    scale = min(MAX_REFUSED_SCALE, max(1.0, demand.offered / demand.ended))
+    memory = demand.memory_token_s * scale
+    return BusyEngines(
         prefill=demand.prompt_tokens * demand.s_per_token / window_s,
         decode=memory / window_s / kv_tokens,
     )
--- a/currantdeal/policy/late_callers.py
+++ b/currantdeal/policy/late_callers.py
@@ -1,35 +1,41 @@
-"""Retrying callers, and the memory that they may take.
+"""Detection of retrying callers, and limits on the memory that they use.
 
-Load pattern: retry storm.  A burst refuses a part of its callers, who retry
-into the same burst.  A retrying caller has missed its target whatever is done;
-a new one can still meet its own.  Served alike, each retry makes a new caller
-late or refused, and the burst goes on for as long as it has retries.
+Load pattern: retry storm.  Some of the callers of a burst are refused and
+retry into the same burst.  A retrying caller has missed its latency target in
+any case; a new one can still meet it.  With equal priority, each retry makes a
+new caller late or refused, and the overload lasts for as long as there are
+retries.
 
-So retrying callers take only memory that new ones will not need
-(``LATE_FULL``), and wait for much longer: a second refusal mostly means that a
-caller gets nothing.
+So retrying callers are given only memory that new ones will not need
+(``LATE_FULL``), and wait for it much longer, since a caller that is refused a
+second time usually gives up.
 
-A retry is seen from its patience: callers of a route name about the same time
-for an answer, and a retry names what is left of it.
+A retry is detected by its timeout: callers of a route set about the same
+timeout, and a retry sets what is left of it.  The timeout of a caller is
+called its patience here.
 """
 
 import math
 
-RETURNED_SHARE = 0.8
-"""Share of the longest patience on a route below which a caller retries."""
+RETRY_TIMEOUT_SHARE = 0.8
+"""Share of a route's longest patience below which a caller is a retry."""
 
-FORGET = 0.999
-"""Factor by which the longest patience is forgotten with each caller."""
+DECAY = 0.999
+"""Factor by which the longest patience decays with each caller.
+
+So it follows callers that are changed to set a shorter timeout.
+"""
 
 LATE_FULL = 0.85
-"""Share of an engine's memory up to which retrying callers are given some."""
+"""Memory use of an engine, as a share, up to which retries are admitted."""
 
 LATE_WAIT_TARGETS = 3.0
-"""Longest wait of a retrying caller for memory, in targets of its route."""
+"""Longest wait of a retrying caller for memory, in latency targets of its
+route."""
 
 
 class PatienceBook:
-    """Tells callers who come back from new ones.
+    """Detects retrying callers by their patience.
 
     Examples
     --------
@@ -41,37 +47,36 @@
     """
 
     def __init__(self):
-        """Know no route."""
+        """Start without routes."""
         self._own_s = {}
-        self._others_s = {}
+        self._shared_s = {}
 
     @property
     def longest_s(self):
-        """Longest patience that was seen here on each route, in seconds."""
+        """Longest patience seen at this entry by route, in seconds."""
         return dict(self._own_s)
 
     def learn(self, longest_s):
-        """Take the longest patience of each route that all entries saw.
+        """Set the longest patience of each route over all entries.
 
-        One of many entries sees the callers of a route too rarely to know.
+        One of many entries sees too few callers of a route to estimate it.
         """
-        self._others_s = longest_s
+        self._shared_s = longest_s
 
     def has_returned(self, route, patience_s, *, limit_s=math.inf):
-        """Note a caller and return whether it has waited before.
+        """Record a caller and return whether it is retrying.
 
         Parameters
         ----------
         patience_s : float or None
-            Time that it waits for the answer; None if it names none.
+            Timeout of the caller; None if it sets none.
         limit_s : float
-            Longest time that the route keeps a caller waiting; a patience
-            beyond it says nothing.
+            Timeout of the route; a longer patience is cut to it.
         """
         if patience_s is None:
             return False
-        known_s = self._own_s.get(route, 0.0) * FORGET
-        own_s = max(known_s, min(patience_s, limit_s))
+        decayed_s = self._own_s.get(route, 0.0) * DECAY
+        own_s = max(decayed_s, min(patience_s, limit_s))
         self._own_s[route] = own_s
-        longest_s = max(own_s, self._others_s.get(route, 0.0))
-        return patience_s < RETURNED_SHARE * min(longest_s, limit_s)
+        longest_s = max(own_s, self._shared_s.get(route, 0.0))
+        return patience_s < RETRY_TIMEOUT_SHARE * min(longest_s, limit_s)
--- a/currantdeal/policy/prompt_reader.py
+++ b/currantdeal/policy/prompt_reader.py
@@ -1,65 +1,65 @@
 """Choice between a prefill engine and local prefill at the decode engine.
 
 Load pattern: burst of prompts at a pool with few prefill engines.  Prompts
-queue, and a dark prefill engine is the same at its worst.  A decode engine can
+queue; an unresponsive prefill engine is the extreme case.  A decode engine can
 prefill a prompt itself, more slowly and between the tokens of its streams: a
-short prompt stretches one pause of each of them, a long one makes them late.
-So decode engines prefill short prompts as soon as prompts queue, and the queue
-is left to the long ones.
+short prompt lengthens one pause of each stream, a long one makes the streams
+late.  So decode engines prefill short prompts as soon as prompts queue, and
+only long prompts wait in the queue.
 """
 
 from dataclasses import dataclass
 
-from currantdeal.policy.spread_choice import spread_groups
+from currantdeal.policy.spread_choice import order_groups_by_choices
 
 JITTER_S = 0.03
-"""Random part of an estimate, so that entries do not choose alike."""
+"""Random part of an estimate, so that entries choose different engines."""
 
-DISTANCE_S = (0.0, 0.005, 0.06)
+TRANSFER_DELAY_S = (0.0, 0.005, 0.06)
 """Delay of the KV cache transfer from an engine in the same data centre, in
-the same region and farther away."""
+the same region and in another region."""
 
-CONNECT_S = (0.002, 0.005, 0.03)
+CONNECT_DELAY_S = (0.002, 0.005, 0.03)
 """Delay of a new connection, by the same distances."""
 
-SUSPECT_S = 0.3
-"""Delay expected of an engine that several entries could not reach."""
+SUSPECT_DELAY_S = 0.3
+"""Delay added to an engine that several entries could not reach."""
 
-SPEED_S_PER_TOKEN = 1 / 30_000
-"""Time to prefill a token before any was measured."""
+DEFAULT_S_PER_TOKEN = 1 / 30_000
+"""Time to prefill a token until one is measured."""
 
-OWN_SLOWDOWN = 2.0
-"""Factor by which a decode engine prefills more slowly."""
+LOCAL_SLOWDOWN = 2.0
+"""Factor by which a decode engine prefills more slowly than a prefill one."""
 
-MOVE_S = 0.1
+SAVED_TRANSFER_S = 0.1
 """Time of a KV cache transfer, which local prefill saves."""
 
-PAUSE_SHARE = 0.75
-"""Share of the pause target that a prompt may take between two events."""
+MAX_PAUSE_SHARE = 0.75
+"""Share of the pause target that local prefill may take between two events."""
 
-QUEUE_SHARE = 0.25
-"""Share of the time left that a prompt may wait for others in a queue."""
+MAX_QUEUE_SHARE = 0.25
+"""Share of the time left that a prompt may wait in a queue."""
 
-PATIENCE_FACTOR = 2.0
-"""Multiple of the expected time for which a prefill engine is waited for."""
+TIMEOUT_FACTOR = 2.0
+"""Multiple of the expected time after which a prefill engine times out."""
 
-PATIENCE_MARGIN_S = 0.3
-"""Time beyond that, for prompts that the sums do not hold yet."""
+TIMEOUT_MARGIN_S = 0.3
+"""Time added to it, for queued prompts that are not in the sums yet."""
 
-LONGEST_PATIENCE_S = 1.6
-"""Longest wait for a prompt; the reservation ends after two seconds."""
+MAX_TIMEOUT_S = 1.6
+"""Longest timeout of a prefill; the reservation expires after 2 s."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class PromptEstimate:
-    """When a prefill engine will have read a prompt.
+    """Expected time until a prefill engine has prefilled a prompt.
 
     Parameters
     ----------
     upstream : str
         Name of the engine.
     expected_s : float
-        Seconds until the prompt is read.
+        Seconds until the prompt is prefilled, network delays included.
     """
 
     upstream: str
@@ -78,7 +78,7 @@
     unseen=0.0,
     connected=None,
 ):
-    """Return estimates for prefill engines in the order to ask them.
+    """Return estimates for prefill engines in the order to try them.
 
     Parameters
     ----------
@@ -87,18 +87,18 @@
     tokens : int
         Size of the prompt.
     backlog : callable
-        Prompt tokens that an engine has yet to read.
+        Prompt tokens that an engine has yet to prefill.
     distance : callable
         0 for an engine in the data centre of the decode engine, 1 in its
         region, 2 elsewhere.
     suspect : callable
         Whether several entries could not reach an engine.
     random : random.Random
-        Source of the jitter and of the groups that are compared.
+        Source of the jitter and of the random groups.
     s_per_token : float or None
         Measured time to prefill a token.
     unseen : float
-        Prompts of others that the backlogs do not show yet.
+        Prompts of other entries that are not in the backlogs yet.
     connected : callable or None
         Whether there is an open connection to an engine.
 
@@ -112,15 +112,15 @@
     >>> [estimate.upstream for estimate in found]
     ['p2', 'p1']
     """
-    speed = s_per_token or SPEED_S_PER_TOKEN
+    token_s = s_per_token or DEFAULT_S_PER_TOKEN
 
     def expected_s(upstream):
-        read_s = (backlog(upstream) + tokens) * speed
-        doubt_s = SUSPECT_S if suspect(upstream) else 0.0
-        way_s = DISTANCE_S[distance(upstream)]
+        prefill_s = (backlog(upstream) + tokens) * token_s
+        suspect_s = SUSPECT_DELAY_S if suspect(upstream) else 0.0
+        network_s = TRANSFER_DELAY_S[distance(upstream)]
         if connected is not None and not connected(upstream):
-            way_s += CONNECT_S[distance(upstream)]
-        return read_s + way_s + doubt_s
+            network_s += CONNECT_DELAY_S[distance(upstream)]
+        return prefill_s + network_s + suspect_s
 
     found = {
         name: PromptEstimate(upstream=name, expected_s=expected_s(name))
@@ -129,47 +129,52 @@
     far = [name for name in found if distance(name) == 2]
     near = [name for name in found if distance(name) != 2]
 
-    order = spread_groups(
+    order = order_groups_by_choices(
         (near, far),
         cost=lambda name: found[name].expected_s,
         random=random,
         unseen=unseen,
         jitter=JITTER_S,
-        # With engines of both kinds, the two choices are one of each.
-        smallest=1 if near and far else 2,
+        # With near and far engines, each group of choices is one of each.
+        min_group_size=1 if near and far else 2,
     )
     return [found[name] for name in order]
 
 
 def own_reading_s(tokens, s_per_token):
-    """Return the seconds in which a decode engine reads a prompt.
+    """Return the seconds in which a decode engine prefills a prompt.
 
     Examples
     --------
     >>> own_reading_s(3000, 3e-5)
     0.18
     """
-    return OWN_SLOWDOWN * tokens * (s_per_token or SPEED_S_PER_TOKEN)
+    return LOCAL_SLOWDOWN * tokens * (s_per_token or DEFAULT_S_PER_TOKEN)
 
 
 def decode_engine_reads(
     best, *, tokens, s_per_token, time_left_s, pause_target_s
 ):
-    """Return whether the decode engine is to read a prompt itself.
+    """Return whether the decode engine should prefill a prompt itself.
+
+    It should if there is no prefill engine, or if the prompt would wait long
+    in the queue of the best one while local prefill is fast enough for the
+    prompt's own target and for the pauses of the engine's other streams.
 
     Parameters
     ----------
     best : PromptEstimate or None
-        Of the prefill engine that would be asked; None without one.
+        Estimate of the prefill engine that would be used; None without one.
     tokens : int
         Size of the prompt.
     s_per_token : float or None
-        Measured time in which a prefill engine reads a token.
+        Measured time in which a prefill engine prefills a token.
     time_left_s : float
-        Seconds in which the prompt must be read for a first event in time.
+        Seconds in which the prompt must be prefilled for the first event to
+        be in time.
     pause_target_s : float
         Longest pause of the engine's other streams that is in time; 0 if
-        there is none.
+        there is no target.
 
     Examples
     --------
@@ -183,22 +188,23 @@
     """
     if best is None:
         return True
-    own_s = own_reading_s(tokens, s_per_token)
-    if own_s > time_left_s + MOVE_S:
+    local_s = own_reading_s(tokens, s_per_token)
+    if local_s > time_left_s + SAVED_TRANSFER_S:
         return False
-    if pause_target_s and own_s > PAUSE_SHARE * pause_target_s:
+    if pause_target_s and local_s > MAX_PAUSE_SHARE * pause_target_s:
         return False
-    queue_s = best.expected_s - own_s / OWN_SLOWDOWN
-    return queue_s > QUEUE_SHARE * time_left_s
+    queue_s = best.expected_s - local_s / LOCAL_SLOWDOWN
+    return queue_s > MAX_QUEUE_SHARE * time_left_s
 
 
 def prompt_patience_s(best, *, tokens, s_per_token, time_left_s):
-    """Return how long to wait for a prefill engine to read a prompt.
+    """Return the timeout of a prefill at a prefill engine, in seconds.
 
-    An engine that went dark keeps its connections and says nothing.  Waiting
-    for it until the reservation ends makes the first event late; giving up on
-    an engine that is only busy reads the prompt twice.  So it is given up
-    early only where the decode engine can then still read it in time.
+    An unresponsive engine keeps its connections open and sends nothing.
+    Waiting for it until the reservation expires makes the first event late,
+    but a timeout of an engine that is only busy prefills the prompt twice.  So
+    the timeout is short only where the decode engine can then still prefill
+    the prompt in time.
 
     Examples
     --------
@@ -210,8 +216,10 @@
     ...                   time_left_s=0.7)
     1.6
     """
-    wanted_s = PATIENCE_FACTOR * best.expected_s + PATIENCE_MARGIN_S
-    in_time_s = time_left_s + MOVE_S - own_reading_s(tokens, s_per_token)
-    if wanted_s > in_time_s:
-        return LONGEST_PATIENCE_S
-    return wanted_s
+    timeout_s = TIMEOUT_FACTOR * best.expected_s + TIMEOUT_MARGIN_S
+    latest_s = (
+        time_left_s + SAVED_TRANSFER_S - own_reading_s(tokens, s_per_token)
+    )
+    if timeout_s > latest_s:
+        return MAX_TIMEOUT_S
+    return timeout_s
--- a/currantdeal/policy/reading_turns.py
+++ b/currantdeal/policy/reading_turns.py
@@ -1,22 +1,23 @@
-"""Turns of decode engines that read prompts themselves.
-
-The load pattern is a burst, or a pool whose only prefill engine is away: many
-entries have prompts read by the same few decode engines.  One prompt between
-two events of a stream is a pause that callers don't notice; two at once
-double it, and every stream of the engine is late.  The sums of loads are too
-old to see it: a prompt is read in the time in which they are passed on.
-
-So an entry tells the others at once when it has a prompt read by a decode
-engine, and for how long, and each waits for the end of a reading that it
-knows of.  Nothing is granted: what is lost on the way costs a pause.
+"""Serialisation of local prefills at decode engines.
+
+Load pattern: a burst, or a pool without its only prefill engine.  Many entries
+have prompts prefilled by the same few decode engines.  One prefill between two
+events of a stream is a pause that callers don't notice; two at once double it,
+and every stream of the engine is late.  The sums of loads are too old to show
+this: a prefill takes about as long as an exchange of loads.
+
+So an entry notifies the others at once when it starts a prefill at a decode
+engine, with its duration, and each entry waits for the end of the prefills of
+which it was notified.  There are no grants, so a lost notice costs only a
+longer pause.
 """
 
-TURN_MARGIN_S = 0.02
-"""Time between two turns, for the way to the engine and back."""
+ROUND_TRIP_MARGIN_S = 0.02
+"""Time between two prefills, for the round trip to the engine."""
 
 
 class ReadingTurns:
-    """Which decode engines read a prompt now, as far as is known.
+    """Local prefills in progress at decode engines, as one entry knows them.
 
     Examples
     --------
@@ -29,21 +30,21 @@
     """
 
     def __init__(self):
-        """Know of no reading."""
+        """Start without prefills."""
         self._until_s = {}
 
     def begin(self, upstream, for_s, *, now_s):
-        """Note that an engine reads a prompt from now on, for a time.
+        """Record a prefill that starts now, or after those in progress.
 
-        Prompts at one engine are read one after the other.
+        The prompts at one engine are prefilled one after the other.
         """
         start_s = max(now_s, self._until_s.get(upstream, 0.0))
-        self._until_s[upstream] = start_s + for_s + TURN_MARGIN_S
+        self._until_s[upstream] = start_s + for_s + ROUND_TRIP_MARGIN_S
 
     def free_in_s(self, upstream, *, now_s):
-        """Return the seconds until an engine has read what it has."""
+        """Return the seconds until an engine has ended all its prefills."""
         return max(0.0, self._until_s.get(upstream, 0.0) - now_s)
 
     def is_reading(self, upstream, *, now_s):
-        """Return whether an engine reads a prompt now."""
+        """Return whether an engine prefills a prompt now."""
         return self.free_in_s(upstream, now_s=now_s) > 0.0
--- a/currantdeal/policy/reset_outcome.py
+++ b/currantdeal/policy/reset_outcome.py
@@ -1,12 +1,12 @@
-"""What a connection that is reset in the middle of a call means.
+"""Outcome of a call whose connection was reset, and who may retry it.
 
-Load pattern: connection resets in bursts.  A node or a path drops a share of
-its connections at once, each at another moment of its call.  Whether the call
-ran decides what the caller may be told and who may send it again; a single
-wrong "not run" charges a customer twice.
+Load pattern: connection resets in bursts.  A node or a network path drops a
+share of its connections at once, each at a different moment of its call.
+Whether the call may have run determines what is reported to the caller and who
+may retry the call; a single wrong "not run" can charge a customer twice.
 
-The decision depends on the kind of call and on the moment alone, so that every
-place that loses a connection comes to the same answer.
+The decision depends only on the kind of the call and on the moment of the
+reset, so it is the same wherever a connection is lost.
 """
 
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 
 
 class CallKind(str, Enum):
-    """Kind of a call, by what a second run of it would do.
+    """Kind of a call, by the effect of a second run.
 
-    ``AUXILIARY`` is a call of the system's own that may be repeated:
-    reservations, prefills, releases and health checks.  ``ORDER`` changes the
-    stage of an engine.  ``PEER`` is a message between instances, which is
-    idempotent, and ``CONTROL`` a call of an upstream or operator to control.
+    ``AUXILIARY`` is an internal call that may be retried: a reservation, a
+    prefill, a release or a health check.  ``ORDER`` changes the stage of an
+    engine.  ``PEER`` is a message between instances, which is idempotent, and
+    ``CONTROL`` a call of an upstream or operator to a control instance.
     """
 
     IDEMPOTENT = "idempotent"
@@ -35,10 +35,10 @@
 
 
 class Moment(str, Enum):
-    """How far a call had come when its connection was reset.
+    """Progress of a call at the reset of its connection.
 
-    ``BETWEEN_EVENTS`` and ``WITHIN_EVENT`` are moments of a stream of which
-    the caller already has a part.
+    ``BETWEEN_EVENTS`` and ``WITHIN_EVENT`` are moments of a stream that the
+    caller has already received in part.
     """
 
     CONNECTING = "connecting"
@@ -50,12 +50,12 @@
 
 
 class Told(str, Enum):
-    """What the sender of a call is told if nobody repeats it.
+    """Result that the sender of a call receives if the call is not retried.
 
-    ``NOT_RUN`` is a refusal with a time to come back, ``UNKNOWN`` a failure
-    that promises nothing, ``CUT`` the end of the connection in the middle of
-    an answer, which cannot look complete.  ``NOTHING`` is for calls of the
-    system's own, for which no caller waits directly.
+    ``NOT_RUN`` is a refusal with a retry-after time, ``UNKNOWN`` a failure
+    after which the call may or may not have run, ``CUT`` the end of the
+    connection in the middle of an answer, which cannot look complete.
+    ``NOTHING`` is for internal calls, for which no caller waits directly.
     """
 
     NOT_RUN = "not-run"
@@ -65,11 +65,12 @@
 
 
 class RepeatBy(str, Enum):
-    """Who sends a call again, and how.
+    """Who retries a call, and how.
 
-    ``ENTRY`` sends it to another upstream, ``RESUMED`` has another upstream
-    go on after the last whole event, ``SENDER`` is whoever made the call, and
-    ``NOBODY`` means that a repetition might run it twice.
+    With ``ENTRY`` the entry sends it to another upstream, with ``RESUMED`` the
+    entry has another upstream resume the stream after the last complete event.
+    ``SENDER`` is the client that made the call, and ``NOBODY`` means that a
+    retry could run the call twice.
     """
 
     ENTRY = "entry"
@@ -80,16 +81,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ResetOutcome:
-    """What is known and done after a reset.
+    """Outcome of a call whose connection was reset.
 
     Parameters
     ----------
     ran : Ran
-        What is proved about the call.
+        Whether the call certainly did not run, or may have run.
     told : Told
-        What the sender is told if it is not repeated here.
+        Result that the sender receives if the call is not retried here.
     repeat_by : RepeatBy
-        Who may repeat it.
+        Who may retry it.
     """
 
     ran: Ran
@@ -98,7 +99,7 @@
 
     @property
     def by_entry(self):
-        """Whether the entry itself may have it run once more."""
+        """Whether the entry itself may retry or resume the call."""
         return self.repeat_by in (RepeatBy.ENTRY, RepeatBy.RESUMED)
 
 
@@ -108,7 +109,7 @@
     Raises
     ------
     ValueError
-        If a call of that kind has no such moment.
+        If a call of that kind cannot be reset at that moment.
 
     Examples
     --------
@@ -120,7 +121,9 @@
     ('maybe', 'unknown', 'nobody')
     """
     if not has_moment(kind, moment):
-        raise ValueError(f'a call "{kind.value}" is never "{moment.value}"')
+        raise ValueError(
+            f'call of kind "{kind.value}" cannot be reset at "{moment.value}"'
+        )
     return ResetOutcome(
         ran=Ran.NO if moment is Moment.CONNECTING else Ran.MAYBE,
         told=_told(kind, moment),
@@ -134,8 +137,8 @@
 
 
 _STREAMS = frozenset({CallKind.STREAM, CallKind.RESUMABLE_STREAM})
-_OWN = frozenset({CallKind.AUXILIARY, CallKind.ORDER, CallKind.PEER})
-_REPEATABLE = frozenset(
+_INTERNAL = frozenset({CallKind.AUXILIARY, CallKind.ORDER, CallKind.PEER})
+_RETRYABLE = frozenset(
     {
         CallKind.IDEMPOTENT,
         CallKind.RESUMABLE_STREAM,
@@ -147,7 +150,7 @@
 
 
 def _told(kind, moment):
-    if kind in _OWN:
+    if kind in _INTERNAL:
         return Told.NOTHING
     if moment in _STREAM_MOMENTS:
         return Told.CUT
@@ -159,7 +162,7 @@
         return RepeatBy.SENDER
     if moment is Moment.CONNECTING:
         return RepeatBy.ENTRY
-    if kind not in _REPEATABLE:
+    if kind not in _RETRYABLE:
         return RepeatBy.NOBODY
     if moment in _STREAM_MOMENTS:
         return RepeatBy.RESUMED
--- a/currantdeal/policy/return_time.py
+++ b/currantdeal/policy/return_time.py
@@ -1,12 +1,13 @@
-"""Retry-after of a refused request.
+"""Retry-after time of a refused request.
 
-Load pattern: thundering herd of retries.  Whoever is told to retry at once
-comes back into the same burst; all who are told the same time come back
-together and make the next one.  So the time is spread evenly over a range.
+Load pattern: thundering herd of retries.  A caller that retries at once does
+so into the same burst; callers with the same retry-after time retry together
+and cause the next burst.  So the time is drawn uniformly from a range.
 
-A lack of memory eases as streams end; a missing upstream or configuration is
-back sooner.  A request in quarantine is not served within its caller's
-patience, so it is not told to come back within it.
+A lack of memory lasts until streams end; a missing upstream or configuration
+is usually back sooner.  A quarantined request cannot be served within its
+caller's timeout, so its retry-after time is long and not limited by the time
+left.
 """
 
 from enum import Enum
@@ -32,7 +33,19 @@
 
 
 def return_after_s(shortage, time_left_s, random):
-    """Return the seconds after which to come back.
+    """Return the seconds after which to retry a refused request.
+
+    Except in quarantine they are a third of the time left at most, so that a
+    retry can still be served.
+
+    Parameters
+    ----------
+    shortage : Shortage
+        Why the request was refused.
+    time_left_s : float
+        Seconds until the timeout of the caller.
+    random : random.Random
+        Source of the spread.
 
     Examples
     --------
--- a/currantdeal/policy/shared_budget.py
+++ b/currantdeal/policy/shared_budget.py
@@ -1,31 +1,32 @@
-"""One retry budget for a service, kept by many entries without talking.
+"""Retry budget of a service, divided among entries without coordination.
 
-The load pattern is a crash or a release of upstreams: for seconds, every
-entry sees failures and retries, and the retries of all together overload
-what is left.  A budget in each entry alone would grow with the number of
-entries.
+Load pattern: retry storm.  During a crash or a release of upstreams, every
+entry sees failures for seconds and retries, and all retries together overload
+the remaining upstreams.  With a whole budget in each entry, the total would
+grow with the number of entries.
 
-An entry may repeat a share of the requests that it received itself, which
-adds up over all entries by itself, and has its part of the fixed allowance.
-A part is kept back (``KEPT_BACK``), since an entry that restarts forgets
-what it used and the windows of different entries do not begin together.
+An entry may retry a share of the requests that it received itself; these
+shares add up to that of the service.  It also has its part of the fixed
+allowance.  Some of the budget stays unused (``HEADROOM``), since an entry that
+restarts loses its counts, and the windows of different entries are not
+aligned.
 """
 
 from collections import deque
 
-KEPT_BACK = 0.4
+HEADROOM = 0.4
 """Share of the budget that is never used."""
 
 
 class SharedBudget:
-    """The part of one entry in the budget of one service.
+    """Part of one entry in the retry budget of one service.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request received.
+        Retries allowed for each request received.
     allowance : float
-        Repeats allowed in a window beyond that, over all entries.
+        Further retries allowed in a window, over all entries.
     window_s : float
         Length of the sliding window.
 
@@ -39,33 +40,33 @@
     """
 
     def __init__(self, *, ratio, allowance, window_s):
-        """Start with nothing used."""
+        """Start with an unused budget."""
         self._ratio = ratio
         self._allowance = allowance
         self._window_s = window_s
         self._requests = deque()
-        self._repeats = deque()
+        self._retries = deque()
 
     def note_request(self, *, now_s):
-        """Note a request that a caller sent."""
+        """Record a request of a caller."""
         self._requests.append(now_s)
-        self._drop_old(self._requests, now_s)
+        self._expire(self._requests, now_s)
 
     def take(self, *, now_s, entries):
-        """Use the budget for one repeat, if it allows one."""
+        """Use the budget for one retry; returns False if it is exhausted."""
         if self.left(now_s=now_s, entries=entries) < 1.0:
             return False
-        self._repeats.append(now_s)
+        self._retries.append(now_s)
         return True
 
     def left(self, *, now_s, entries):
-        """Return the repeats that the budget allows now."""
-        self._drop_old(self._requests, now_s)
-        self._drop_old(self._repeats, now_s)
+        """Return the number of retries that the budget allows now."""
+        self._expire(self._requests, now_s)
+        self._expire(self._retries, now_s)
         allowed = self._ratio * len(self._requests)
         allowed += self._allowance / max(1, entries)
-        return (1.0 - KEPT_BACK) * allowed - len(self._repeats)
+        return (1.0 - HEADROOM) * allowed - len(self._retries)
 
-    def _drop_old(self, times, now_s):
+    def _expire(self, times, now_s):
         while times and times[0] <= now_s - self._window_s:
             times.popleft()
--- a/currantdeal/policy/shared_load.py
+++ b/currantdeal/policy/shared_load.py
@@ -1,35 +1,40 @@
-"""What all entries together hold at each engine.
+"""Sums over all entries of the load that they place on each engine.
 
 Load pattern: partial views.  Many entries with few streams each share the
-engines, and a stream that one of them places is unknown to the others.  Each
-then sees nearly empty engines, and finds out by itself that one is dark.
-
-So entries report to their control instance what they hold, control instances
-add that up for each other, and entries get the sums a few times a second.  An
-entry corrects them by what it did itself since.  All of this is soft state:
-without it an entry falls back on its own counts, and the engine's answer to a
-reservation stays the truth.
+engines, and a stream that one entry places is unknown to the others.  Each
+entry alone would see nearly idle engines, and would have to detect by itself
+that an engine is unreachable.
+
+So entries report their load to their control instance, control instances
+exchange their subtotals, and entries receive the sums a few times a second.
+An entry corrects them by its own changes since its last report.  All of this
+is soft state: without it an entry falls back on its own counts, and the
+engine's answer to a reservation remains authoritative.
 """
 
 from dataclasses import dataclass, field
 
 LOAD_INTERVAL_S = 0.15
-"""Interval at which changed loads are passed on, at each of three steps."""
+"""Interval at which changed loads are sent, at each of three steps.
 
-FRESH_S = 1.5
-"""Age up to which sums are used: as long as a source may be silent."""
+The steps are entry to control instance, control instance to control instance,
+and control instance to entry.
+"""
+
+MAX_SUMS_AGE_S = 1.5
+"""Age up to which sums are used: the time for which a source may be silent."""
 
-EXPIRE_S = 2.0
-"""Silence after which the part of an entry or control instance is dropped."""
+SOURCE_TIMEOUT_S = 2.0
+"""Silence after which the load of an entry or control instance is dropped."""
 
-SUSPECT_REPORTS = 2
+MIN_UNREACHABLE_REPORTS = 2
 """Entries that must have failed to reach an engine before others avoid it.
 
-One may be cut off itself.
+A single one may be partitioned from the network itself.
 """
 
-UNSEEN_SHARE = 0.1
-"""Share of the streams held that began after the sums were taken."""
+UNREPORTED_SHARE = 0.1
+"""Share of the current streams that began after the sums were taken."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -40,11 +45,11 @@
     ----------
     held : dict
         Tokens held at each engine: of memory at decode engines, of prompts
-        to read at prefill engines.
+        to prefill at prefill engines.
     unreachable : dict
-        Number of entries that lately failed to reach an engine.
+        Number of entries that recently failed to reach an engine.
     patience : dict
-        Longest patience of the callers of each route, in seconds.
+        Longest timeout of the callers of each route, in seconds.
     """
 
     held: dict[str, int]
@@ -53,7 +58,7 @@
 
 
 class EntryLoad:
-    """What one entry holds at engines, and what it knows of the others.
+    """Load of one entry at engines, and the last sums over all entries.
 
     Examples
     --------
@@ -69,34 +74,34 @@
     """
 
     def __init__(self):
-        """Hold nothing and know nothing."""
+        """Start without load and without sums."""
         self._own = {}
         self._reported = {}
         self._others = {}
         self._suspects = frozenset()
-        self._taken_s = None
+        self._updated_s = None
 
     def began(self, upstream, tokens):
-        """Note tokens that this entry holds from now on."""
+        """Add tokens that this entry holds at an engine from now on."""
         self._own[upstream] = self._own.get(upstream, 0) + tokens
 
     def ended(self, upstream, tokens):
-        """Note that this entry holds them no longer."""
-        left = self._own.get(upstream, 0) - tokens
-        if left > 0:
-            self._own[upstream] = left
+        """Subtract tokens that this entry no longer holds at an engine."""
+        remaining = self._own.get(upstream, 0) - tokens
+        if remaining > 0:
+            self._own[upstream] = remaining
         else:
             self._own.pop(upstream, None)
 
     def report(self, *, unreachable, patience=None):
-        """Return what this entry holds, for the others.
+        """Return the load of this entry, to be sent to the other entries.
 
         Parameters
         ----------
         unreachable : iterable of str
-            Engines that this entry lately failed to reach.
+            Engines that this entry recently failed to reach.
         patience : dict or None
-            Longest patience that this entry saw on each route, in seconds.
+            Longest timeout that callers set on each route, in seconds.
         """
         self._reported = dict(self._own)
         return PoolLoad(
@@ -106,7 +111,7 @@
         )
 
     def take(self, sums, *, now_s):
-        """Take the sums over all entries, this one included."""
+        """Replace the sums over all entries, which include this one."""
         reported = self._reported
         self._others = {
             name: max(0, tokens - reported.get(name, 0))
@@ -115,40 +120,48 @@
         self._suspects = frozenset(
             name
             for name, reports in sums.unreachable.items()
-            if reports >= SUSPECT_REPORTS
+            if reports >= MIN_UNREACHABLE_REPORTS
         )
-        self._taken_s = now_s
+        self._updated_s = now_s
 
-    def knows_others(self, *, now_s):
-        """Return whether the sums are fresh enough to be believed."""
-        return self._taken_s is not None and now_s - self._taken_s <= FRESH_S
+    def has_current_sums(self, *, now_s):
+        """Return whether the sums are recent enough to be used."""
+        return (
+            self._updated_s is not None
+            and now_s - self._updated_s <= MAX_SUMS_AGE_S
+        )
 
     def tokens(self, upstream, *, now_s):
-        """Return the tokens believed to be held at an engine."""
+        """Return the estimated tokens that all entries hold at an engine.
+
+        Without current sums these are the tokens of this entry alone.
+        """
         own = self._own.get(upstream, 0)
-        if not self.knows_others(now_s=now_s):
+        if not self.has_current_sums(now_s=now_s):
             return own
         return own + self._others.get(upstream, 0)
 
     def unseen(self, tokens, *, now_s):
-        """Return how many placements of others the sums do not show yet.
+        """Return the estimated placements of others not yet in the sums.
 
         Parameters
         ----------
         tokens : int
-            Size of a placement.
+            Tokens of one placement.
         """
-        if not self.knows_others(now_s=now_s):
+        if not self.has_current_sums(now_s=now_s):
             return 0.0
-        return UNSEEN_SHARE * sum(self._others.values()) / max(1, tokens)
+        return UNREPORTED_SHARE * sum(self._others.values()) / max(1, tokens)
 
     def is_suspect(self, upstream, *, now_s):
         """Return whether several entries failed to reach an engine."""
-        return self.knows_others(now_s=now_s) and upstream in self._suspects
+        return (
+            self.has_current_sums(now_s=now_s) and upstream in self._suspects
+        )
 
 
 class LoadBook:
-    """Adds up the loads of entries at one control instance.
+    """Sums the loads of entries at one control instance.
 
     Examples
     --------
@@ -168,50 +181,51 @@
         self._controls = {}
 
     def take_entry(self, entry, load, *, now_s):
-        """Take the load of an entry that reports here."""
+        """Store the load of an entry that reports here."""
         self._entries[entry] = (now_s, load)
 
     def drop_entry(self, entry):
-        """Forget an entry that reports here no longer."""
+        """Remove an entry that no longer reports here."""
         self._entries.pop(entry, None)
 
     def take_control(self, sender, load, *, now_s):
-        """Take the load of all entries that report to another instance."""
+        """Store the summed load of the entries of another instance."""
         self._controls[sender] = (now_s, load)
 
     def here(self, *, now_s):
-        """Return the sum over the entries that report here."""
-        return _sum(_fresh(self._entries, now_s))
+        """Return the summed load of the entries that report here."""
+        return _sum_loads(_current_loads(self._entries, now_s))
 
     def total(self, *, now_s):
-        """Return the sum over all entries."""
-        return _sum(
+        """Return the summed load of all entries."""
+        return _sum_loads(
             [
-                *_fresh(self._entries, now_s),
-                *_fresh(self._controls, now_s),
+                *_current_loads(self._entries, now_s),
+                *_current_loads(self._controls, now_s),
             ]
         )
 
 
-def _fresh(parts, now_s):
-    for name in tuple(parts):
-        if now_s - parts[name][0] > EXPIRE_S:
-            del parts[name]
-    return [load for _, load in parts.values()]
+def _current_loads(sources, now_s):
+    """Return the loads of sources, without those that timed out."""
+    for name in tuple(sources):
+        if now_s - sources[name][0] > SOURCE_TIMEOUT_S:
+            del sources[name]
+    return [load for _, load in sources.values()]
 
 
-def _sum(loads):
+def _sum_loads(loads):
     held = {}
     unreachable = {}
     patience = {}
     for load in loads:
-        _add(held, load.held)
-        _add(unreachable, load.unreachable)
+        _add_counts(held, load.held)
+        _add_counts(unreachable, load.unreachable)
         for route, seconds in load.patience.items():
             patience[route] = max(seconds, patience.get(route, 0.0))
     return PoolLoad(held=held, unreachable=unreachable, patience=patience)
 
 
-def _add(sums, more):
+def _add_counts(sums, more):
     for name, number in more.items():
         sums[name] = sums.get(name, 0) + number
--- a/currantdeal/policy/spread_choice.py
+++ b/currantdeal/policy/spread_choice.py
@@ -1,91 +1,99 @@
-"""Order of candidates by the best of random groups instead of the best of all.
+"""Order of candidates by the power of two choices.
 
 Load pattern: thundering herd on stale load information.  Many entries place
-by the same sums, which are a few tenths of a second old.  If each chose the
-least loaded upstream, all requests of that time would go to the same one.
-Where each chooses the better of a few random candidates, the load stays nearly
-even, however old the sums are (power of two choices).
+requests by the same sums, which are a few tenths of a second old.  If each
+chose the least loaded upstream, all requests of that time would go to the same
+one.  If each chooses the better of a few random candidates, the load stays
+nearly even, however old the sums are.
 """
 
 
-def spread_order(items, *, cost, random, unseen, jitter=0.0, smallest=2):
+def order_by_choices(
+    items, *, cost, random, unseen, jitter=0.0, min_group_size=2
+):
     """Return items in the order in which to try them.
 
     They are divided at random into as many groups as there are placements
-    that the costs do not show yet.  The cheapest items of all groups come
+    that the costs do not include yet.  The cheapest items of all groups come
     first, in random order, then the second ones, and so on.
 
     Parameters
     ----------
     cost : callable
-        Believed cost of an item; comparable.
+        Estimated cost of an item; comparable.
     random : random.Random
         Source of the groups.
     unseen : float
-        Placements by others that the costs do not show; with one or less the
-        items are sorted by their cost.
+        Placements by others that the costs do not include; with one or less
+        the items are sorted by their cost.
     jitter : float
-        Largest random part of a cost, where the items make one group only.
-    smallest : int
-        Items of the smallest group.
+        Largest random part of a cost, used if there is only one group.
+    min_group_size : int
+        Items of a group at least.
 
     Examples
     --------
     >>> from random import Random
     >>> load = {"a": 1, "b": 9, "c": 2, "d": 8}.get
-    >>> spread_order("bdca", cost=load, random=Random(1), unseen=0)
+    >>> order_by_choices("bdca", cost=load, random=Random(1), unseen=0)
     ['a', 'c', 'd', 'b']
-    >>> order = spread_order("abcd", cost=load, random=Random(1), unseen=9)
+    >>> order = order_by_choices("abcd", cost=load, random=Random(1), unseen=9)
     >>> order[0] != "b", sorted(order)
     (True, ['a', 'b', 'c', 'd'])
     """
-    number = max(1, min(len(items) // smallest, round(unseen)))
-    drawn = random.sample(list(items), len(items))
-    if number == 1:
-        return _by_cost(drawn, cost, random, jitter)
-    groups = [sorted(drawn[at::number], key=cost) for at in range(number)]
-    longest = max(len(group) for group in groups)
+    group_count = max(1, min(len(items) // min_group_size, round(unseen)))
+    shuffled = random.sample(list(items), len(items))
+    if group_count == 1:
+        return _sort_by_cost(shuffled, cost, random, jitter)
+    groups = [
+        sorted(shuffled[start::group_count], key=cost)
+        for start in range(group_count)
+    ]
+    largest = max(len(group) for group in groups)
     return [
-        group[rank]
-        for rank in range(longest)
+        group[position]
+        for position in range(largest)
         for group in groups
-        if rank < len(group)
+        if position < len(group)
     ]
 
 
-def spread_groups(groups, *, cost, **options):
-    """Return one order of several groups, each in its ``spread_order``.
+def order_groups_by_choices(groups, *, cost, **options):
+    """Return one order of several groups, each ordered on its own.
 
-    ``options`` are those of ``spread_order``.
+    Each group is ordered by ``order_by_choices``, which gets ``options``.
+    Then the groups are merged, each time with the cheaper first item next.
 
     Examples
     --------
     >>> from random import Random
-    >>> spread_groups([[3, 1], [2, 5]], cost=lambda item: item,
-    ...               random=Random(1), unseen=0)
+    >>> order_groups_by_choices([[3, 1], [2, 5]], cost=lambda item: item,
+    ...                         random=Random(1), unseen=0)
     [1, 2, 3, 5]
     """
-    orders = [spread_order(group, cost=cost, **options) for group in groups]
-    return _merge_cheapest(orders, cost=cost)
+    orders = [
+        order_by_choices(group, cost=cost, **options) for group in groups
+    ]
+    return _merge_by_cost(orders, cost=cost)
 
 
-def _merge_cheapest(orders, *, cost):
-    """Return one order of several, each time with the cheapest head next.
+def _merge_by_cost(orders, *, cost):
+    """Merge several orders, each time with the cheapest first item next.
 
     Examples
     --------
-    >>> _merge_cheapest([[3, 1], [2, 5]], cost=lambda item: item)
+    >>> _merge_by_cost([[3, 1], [2, 5]], cost=lambda item: item)
     [2, 3, 1, 5]
     """
-    left = [list(order) for order in orders if order]
+    remaining = [list(order) for order in orders if order]
     merged = []
-    while left:
-        head = min(left, key=lambda order: cost(order[0]))
-        merged.append(head.pop(0))
-        left = [order for order in left if order]
+    while remaining:
+        cheapest = min(remaining, key=lambda order: cost(order[0]))
+        merged.append(cheapest.pop(0))
+        remaining = [order for order in remaining if order]
     return merged
 
 
-def _by_cost(items, cost, random, jitter):
+def _sort_by_cost(items, cost, random, jitter):
     costs = {item: cost(item) + random.uniform(0.0, jitter) for item in items}
     return sorted(items, key=costs.get)
--- a/currantdeal/policy/stage_plan.py
+++ b/currantdeal/policy/stage_plan.py
@@ -1,82 +1,82 @@
 """Prefill/decode ratio of the engines of a service.
 
 Load pattern: phase imbalance.  With one prefill engine too few, prompts queue
-and every stream misses its target; with one too many, KV cache memory is
-missing at each peak and requests are refused while prefill engines idle.
+and every stream misses its target; with one too many, KV cache memory runs out
+at each peak and requests are refused while prefill engines idle.
 
-Before any demand is measured the ratio is ``FIRST_SHARE``, to the nearest
-number of engines.  Then, of all splits the one is best whose more loaded stage
-is least loaded.
+Until demand is measured, ``DEFAULT_PREFILL_SHARE`` of the engines prefill,
+rounded to whole engines.  Then the best split is the one that minimises the
+load of its more loaded stage.
 """
 
 from dataclasses import dataclass
 
 from currantdeal.registry import Stage
 
-FIRST_SHARE = 0.25
+DEFAULT_PREFILL_SHARE = 0.25
 
-PREFILL_FULL = 0.8
+MAX_PREFILL_UTILISATION = 0.8
 """Share of time for which a prefill engine may be busy."""
 
-DECODE_FULL = 0.8
-"""Share of a decode engine's memory that streams may fill in the mean."""
+MAX_DECODE_UTILISATION = 0.8
+"""Share of a decode engine's memory that streams may use on average."""
 
 MIN_GAIN = 1.45
-"""Factor by which a better split must ease the more loaded stage."""
+"""Factor by which a new split must reduce the load of the busier stage."""
 
-MIN_GAIN_TO_PREFILL = 1.8  # higher: a decode engine drains its streams first
+MIN_GAIN_TO_PREFILL = 1.8  # higher: a decode engine first drains its streams
 
 CHANGE_PAUSE_S = 15.0
-"""Pause between changes."""
+"""Pause between two changes of a service."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class StageChange:
-    """An engine that is to do another stage."""
+    """The assignment of an engine to another stage."""
 
     upstream: str
     stage: Stage
 
 
-def wanted_prefill(engines, *, busy=None, current=None):
+def prefill_count(engines, *, busy=None, current=None):
     """Return the number of engines that should prefill.
 
     Parameters
     ----------
     engines : int
         Engines of the service.
-    busy : currantdeal.policy.demand.Busy or None
-        Engines that the measured demand keeps busy; None when unknown.
+    busy : currantdeal.policy.demand.BusyEngines or None
+        Engines that the measured demand keeps busy; None if unknown.
     current : int or None
-        Engines that prefill now; kept unless another number is clearly
-        better.
+        Engines that prefill now; kept unless another number is better by
+        ``MIN_GAIN`` or ``MIN_GAIN_TO_PREFILL``.
 
     Examples
     --------
-    >>> from currantdeal.policy.demand import Busy
-    >>> wanted_prefill(9), wanted_prefill(6), wanted_prefill(1)
+    >>> from currantdeal.policy.demand import BusyEngines
+    >>> prefill_count(9), prefill_count(6), prefill_count(1)
     (2, 2, 0)
-    >>> wanted_prefill(9, busy=Busy(prefill=0.3, decode=6.0), current=5)
+    >>> prefill_count(9, busy=BusyEngines(prefill=0.3, decode=6.0), current=5)
     1
-    >>> wanted_prefill(9, busy=Busy(prefill=0.9, decode=3.0), current=3)
+    >>> prefill_count(9, busy=BusyEngines(prefill=0.9, decode=3.0), current=3)
     3
     """
     if engines < 2:
         return 0
     if busy is None:
-        return max(1, round(FIRST_SHARE * engines))
+        return max(1, round(DEFAULT_PREFILL_SHARE * engines))
     loads = {
         number: max(
-            busy.prefill / (number * PREFILL_FULL),
-            busy.decode / ((engines - number) * DECODE_FULL),
+            busy.prefill / (number * MAX_PREFILL_UTILISATION),
+            busy.decode / ((engines - number) * MAX_DECODE_UTILISATION),
         )
         for number in range(1, engines)
     }
     best = min(loads, key=loads.get)
     if current not in loads:
         return best
-    least = MIN_GAIN_TO_PREFILL if best > current else MIN_GAIN
-    return current if loads[current] <= least * loads[best] else best
+    min_gain = MIN_GAIN_TO_PREFILL if best > current else MIN_GAIN
+    return current if loads[current] <= min_gain * loads[best] else best
 
 
 def lacks_stage(records):
@@ -92,22 +92,22 @@
 
 
 def plan_stages(records, *, busy=None, held=None, avoided=()):
-    """Return the changes that bring a service's engines to the wanted split.
+    """Return the changes that bring a service's engines to the desired split.
 
-    Those that hold least are taken, since an engine changes only after its
-    streams have ended.  That is also the one that an earlier holder has
-    chosen: it is given no work.
+    Engines with the least load are chosen, since an engine changes its stage
+    only after its streams have ended.  This also selects the engine that a
+    former leader has chosen, since that one receives no new work.
 
     Parameters
     ----------
     records : iterable of UpstreamRecord
-        The engines that take work.
-    busy : currantdeal.policy.demand.Busy or None
-        As for ``wanted_prefill``.
+        The engines that accept work.
+    busy : currantdeal.policy.demand.BusyEngines or None
+        As for ``prefill_count``.
     held : dict or None
-        Tokens held at each engine, by name; None when unknown.
+        Tokens held at each engine, by name; None if unknown.
     avoided : collection of str
-        Engines that are taken last.
+        Engines that are chosen last.
     """
     held = held or {}
     by_name = sorted(records, key=lambda r: r.upstream, reverse=True)
@@ -117,15 +117,15 @@
     )
     prefill = [r.upstream for r in by_load if r.stage is Stage.PREFILL]
     decode = [r.upstream for r in by_load if r.stage is Stage.DECODE]
-    wanted = wanted_prefill(
+    desired = prefill_count(
         len(prefill) + len(decode), busy=busy, current=len(prefill)
     )
-    surplus = prefill[: max(0, len(prefill) - wanted)]
+    surplus = prefill[: max(0, len(prefill) - desired)]
     if surplus:
         return tuple(
             StageChange(upstream=name, stage=Stage.DECODE) for name in surplus
         )
-    missing = wanted - len(prefill)
+    missing = desired - len(prefill)
     return tuple(
         StageChange(upstream=name, stage=Stage.PREFILL)
         for name in decode[:missing]
--- a/currantdeal/policy/standing.py
+++ b/currantdeal/policy/standing.py
@@ -1,42 +1,46 @@
-"""Outlier detection and choice of upstreams from the outcome of requests.
+"""Outlier detection and load balancing from the outcome of requests.
 
 Load pattern: gray failure.  An upstream fails or delays requests while its
 health checks pass.  Only the outcome of requests shows it.
 
 An upstream that is unreachable or times out is ejected for a time that doubles
-with each further failure.  Errors that it answers itself only make it less
-attractive, since all upstreams of a service answer some.
+with each further failure.  Errors that it answers itself only raise its load
+for the balancer, since all upstreams of a service answer some.
 """
 
 import math
 
 NEVER_S = -math.inf
 
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 4.0
+BASE_EJECTION_S = 0.5
+MAX_EJECTION_S = 4.0
 
 SMOOTHING = 0.2
-"""Weight of the newest outcome."""
+"""Weight of the newest outcome in the moving average of errors."""
 
 ERROR_WEIGHT = 3.0
-"""Full upstreams that a share of errors of 1 weighs as much as."""
+"""Load that an error rate of 1 adds, as a multiple of a full upstream."""
 
-REPORT_FRESH_S = 1.0
-"""Age up to which a reported load counts."""
+MAX_REPORT_AGE_S = 1.0
+"""Age up to which a load reported by the upstream is used."""
 
 UNRESPONSIVE_S = 1.0
 """Time for which an upstream that timed out is reported to other entries."""
 
-FAR_PENALTY = 0.15
-"""Share of an upstream's places that a nearer one may have more in use."""
+CROSS_REGION_PENALTY = 0.15
+"""Load added to an upstream in another region.
+
+It is the share of slots by which a nearer upstream may be busier and is still
+preferred.
+"""
 
 
-class _Standing:
+class _UpstreamState:
     def __init__(self):
         self.outstanding = 0
-        self.errors = 0.0
+        self.error_rate = 0.0
         self.failures = 0
-        self.out_until_s = 0.0
+        self.ejected_until_s = 0.0
         self.unresponsive_until_s = NEVER_S
         self.answered_s = NEVER_S
         self.reported = 0
@@ -44,7 +48,7 @@
 
 
 class Standings:
-    """What one entry has seen of each upstream.
+    """Health and load of each upstream, as one entry observes them.
 
     Examples
     --------
@@ -56,95 +60,115 @@
     """
 
     def __init__(self):
-        """Start without any knowledge."""
-        self._standings = {}
+        """Start without observations."""
+        self._states = {}
 
     def began(self, upstream):
-        """Note a request that was sent."""
-        self._of(upstream).outstanding += 1
+        """Record that a request was sent to an upstream."""
+        self._state_of(upstream).outstanding += 1
 
     def ended(self, upstream):
-        """Note the end of a request that was sent."""
-        self._of(upstream).outstanding -= 1
+        """Record the end of a request that was sent to an upstream."""
+        self._state_of(upstream).outstanding -= 1
 
     def outstanding(self, upstream):
-        """Return the number of requests of this entry at an upstream."""
-        return self._of(upstream).outstanding
+        """Return the number of this entry's open requests at an upstream."""
+        return self._state_of(upstream).outstanding
 
     def answered(self, upstream, *, error, now_s=NEVER_S):
-        """Note an answer, good or an error of the upstream's own."""
-        standing = self._of(upstream)
-        standing.answered_s = max(standing.answered_s, now_s)
-        standing.unresponsive_until_s = NEVER_S
-        standing.failures = 0
-        standing.out_until_s = 0.0
-        standing.errors += SMOOTHING * (float(error) - standing.errors)
+        """Record an answer and readmit the upstream if it was ejected.
+
+        Parameters
+        ----------
+        error : bool
+            Whether the upstream answered with an error.
+        now_s : float
+            Time of the answer; without it, ``answered_s`` stays as it is.
+        """
+        state = self._state_of(upstream)
+        state.answered_s = max(state.answered_s, now_s)
+        state.unresponsive_until_s = NEVER_S
+        state.failures = 0
+        state.ejected_until_s = 0.0
+        state.error_rate += SMOOTHING * (float(error) - state.error_rate)
 
     def answered_s(self, upstream):
-        """Return the time of the last answer that was noted with one."""
-        return self._of(upstream).answered_s
+        """Return the time of the last answer recorded with a time."""
+        return self._state_of(upstream).answered_s
 
     def unreachable(self, upstream, *, now_s, grace_s=0.0):
-        """Note that an upstream did not accept, or stayed silent.
+        """Eject an upstream that refused a connection or did not answer.
 
-        Returns the pause after which to try it again, in seconds.
+        Returns the time after which to retry it, in seconds.
 
         Parameters
         ----------
         grace_s : float
-            Time beyond the pause for which it stays out, unless it answers.
+            Time beyond that for which it stays ejected unless it answers.
         """
-        standing = self._of(upstream)
-        pause_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2.0**standing.failures)
-        standing.failures += 1
-        standing.out_until_s = now_s + pause_s + grace_s
+        state = self._state_of(upstream)
+        pause_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2.0**state.failures)
+        state.failures += 1
+        state.ejected_until_s = now_s + pause_s + grace_s
         return pause_s
 
     def timed_out(self, upstream, *, now_s):
-        """Record a timeout that may only mean that the upstream is busy."""
-        standing = self._of(upstream)
-        standing.unresponsive_until_s = now_s + UNRESPONSIVE_S
+        """Record a timeout without ejection; the upstream may only be busy."""
+        state = self._state_of(upstream)
+        state.unresponsive_until_s = now_s + UNRESPONSIVE_S
 
     def unresponsive(self, *, now_s):
-        """Return the upstreams that timed out lately and answered nothing."""
+        """Return upstreams that timed out recently and did not answer since.
+
+        Each is listed for ``UNRESPONSIVE_S`` after its last timeout.
+        """
         return tuple(
             name
-            for name, standing in self._standings.items()
-            if now_s < standing.unresponsive_until_s
+            for name, state in self._states.items()
+            if now_s < state.unresponsive_until_s
         )
 
     def reachable(self, upstream):
-        """Note that an upstream that was left alone answers again."""
-        self._of(upstream).out_until_s = 0.0
+        """Readmit an ejected upstream that answers again."""
+        self._state_of(upstream).ejected_until_s = 0.0
 
-    def reported(self, upstream, in_use, *, now_s):
-        """Note a load that the upstream told: requests running, waiting."""
-        standing = self._of(upstream)
-        standing.reported = in_use
-        standing.reported_s = now_s
+    def reported(self, upstream, requests, *, now_s):
+        """Record the load that an upstream reported.
+
+        Parameters
+        ----------
+        requests : int
+            Its running and waiting requests.
+        """
+        state = self._state_of(upstream)
+        state.reported = requests
+        state.reported_s = now_s
 
     def is_out(self, upstream, *, now_s):
-        """Return whether an upstream is to be left alone for now."""
-        return now_s < self._of(upstream).out_until_s
+        """Return whether an upstream is ejected now."""
+        return now_s < self._state_of(upstream).ejected_until_s
 
     def out(self, *, now_s):
-        """Return the upstreams that are to be left alone for now."""
+        """Return the names of the upstreams that are ejected now."""
         return tuple(
             name
-            for name, standing in self._standings.items()
-            if now_s < standing.out_until_s
+            for name, state in self._states.items()
+            if now_s < state.ejected_until_s
         )
 
     def load(self, upstream, slots, *, now_s):
-        """Return the share of an upstream's places that seem in use."""
-        standing = self._of(upstream)
-        in_use = standing.outstanding
-        if now_s - standing.reported_s <= REPORT_FRESH_S:
-            in_use = max(in_use, standing.reported)
-        return in_use / max(1, slots) + ERROR_WEIGHT * standing.errors
+        """Return the estimated share of busy slots plus the error penalty.
+
+        The larger of this entry's open requests and a recent report counts.
+        """
+        state = self._state_of(upstream)
+        requests = state.outstanding
+        if now_s - state.reported_s <= MAX_REPORT_AGE_S:
+            requests = max(requests, state.reported)
+        return requests / max(1, slots) + ERROR_WEIGHT * state.error_rate
 
-    def _of(self, upstream):
-        return self._standings.setdefault(upstream, _Standing())
+    def _state_of(self, upstream):
+        return self._states.setdefault(upstream, _UpstreamState())
 
 
 def in_order(
@@ -157,13 +181,15 @@
 ):
     """Return upstreams in the order in which to try them.
 
-    Those that are out come last instead of not at all: when all of a
-    service seem out, trying costs less than refusing.
+    Ejected upstreams come last instead of being left out: when all upstreams
+    of a service are ejected, a failed attempt costs less than a refusal.
 
     Parameters
     ----------
     records : iterable of UpstreamRecord
-        The upstreams of one service that take work.
+        The upstreams of one service that accept requests.
+    standings : Standings
+        Health and load of the upstreams.
     distance : callable
         0 for a record in the same data centre, 1 in the same region, 2
         elsewhere.
@@ -172,10 +198,10 @@
     def key(record):
         name = record.upstream
         load = standings.load(name, record.slots, now_s=now_s)
-        far = FAR_PENALTY * (distance(record) == 2)
+        penalty = CROSS_REGION_PENALTY * (distance(record) == 2)
         return (
             standings.is_out(name, now_s=now_s),
-            load + far,
+            load + penalty,
             distance(record),
             random.random(),
         )
--- a/currantdeal/policy/tests/test_crash_book.py
+++ b/currantdeal/policy/tests/test_crash_book.py
@@ -15,7 +15,7 @@
 
 
 def _book(**crashes):
-    """Return a book with the crashes of each request, by their numbers."""
+    """Return a book with numbered crashes for each request."""
     book = CrashBook()
     for name, numbers in crashes.items():
         for number in numbers:
@@ -23,8 +23,8 @@
     return book
 
 
-def test_third_upstream_that_ends_under_a_request_quarantines_it():
-    """Guards against a query of death that is sent on without end."""
+def test_third_crash_of_an_upstream_quarantines_the_request():
+    """Guards against a query of death that is retried without limit."""
     book = _book(poison=(1, 2))
     assert not book.is_quarantined(POISON)
     book.add_crash(POISON, _crash(3))
@@ -32,22 +32,25 @@
 
 
 def test_one_crash_counts_once():
-    """Guards against counting one upstream for each run that it ended."""
+    """Guards against counting one crash for each lost run of a request."""
     book = _book(poison=(1, 1, 1, 1))
     assert not book.is_quarantined(POISON)
     assert len(book.crashes(POISON)) == 1
 
 
-def test_incarnations_of_an_upstream_count_apart():
-    """Guards against a restart under the same name that hides a crash."""
+def test_incarnations_of_an_upstream_count_separately():
+    """Guards against missed crashes of a process restarted under its name."""
     book = CrashBook()
     for start in range(3):
         book.add_crash(POISON, Crash(upstream="u1", started_ms=start))
     assert book.is_quarantined(POISON)
 
 
-def test_completed_request_is_clear_of_the_crashes_before():
-    """Guards against refusing a popular request that is beside each crash."""
+def test_completion_clears_earlier_crashes():
+    """Guards against quarantine of a frequent request that crashes nothing.
+
+    It is in progress at each crash because it is in progress everywhere.
+    """
     book = _book(popular=(1, 2))
     book.add_completion(POPULAR)
     book.add_crash(POPULAR, _crash(3))
@@ -56,43 +59,46 @@
 
 
 def test_cleared_crash_does_not_count_again_from_another_book():
-    """Guards against an entry that was cut off and brings old suspicions."""
-    late = _book(popular=(1, 2, 3))
+    """Guards against stale records of an entry after a network partition."""
+    stale = _book(popular=(1, 2, 3))
     book = _book(popular=(1, 2))
-    book.merge(late.records)
+    book.merge(stale.records)
     book.add_completion(POPULAR)
-    assert book.merge(late.records) == ()
+    assert book.merge(stale.records) == ()
     assert not book.is_quarantined(POPULAR)
 
 
-def test_culprit_explains_what_happened_beside_it():
-    """Guards against refusing a request that shared three crashes."""
+def test_request_that_only_shares_crashes_of_a_culprit_is_not_quarantined():
+    """Guards against refusing a bystander of three crashes."""
     book = _book(poison=(1, 2, 3, 4), other=(1, 2, 3))
     assert book.quarantined == {POISON}
 
 
-def test_requests_always_beside_each_other_wait_for_another_crash():
-    """Guards against refusing a bystander that is not told apart yet."""
+def test_requests_with_the_same_crashes_await_a_further_crash():
+    """Guards against refusing a bystander before the culprit is identified."""
     book = _book(poison=(1, 2, 3), other=(1, 2, 3))
     assert book.quarantined == frozenset()
     book.add_crash(POISON, _crash(4))
     assert book.quarantined == {POISON}
 
 
-def test_requests_never_apart_are_quarantined_in_the_end():
-    """Guards against two culprits that shield each other."""
+def test_requests_with_the_same_five_crashes_are_both_quarantined():
+    """Guards against two culprits that protect each other without limit."""
     book = _book(poison=range(5), other=range(5))
     assert book.quarantined == {POISON, b"other"}
 
 
 def test_two_culprits_with_crashes_of_their_own_are_both_quarantined():
-    """Guards against a culprit that hides behind a greater one."""
+    """Guards against a culprit that a second one with more crashes masks."""
     book = _book(poison=range(8), other=(0, 11, 12, 13))
     assert book.quarantined == {POISON, b"other"}
 
 
 def test_crash_after_output_counts_less():
-    """Guards against refusing a long stream that lost three engines."""
+    """Guards against refusing a long stream that three engines failed under.
+
+    Engines also end for other reasons during a long stream.
+    """
     book = CrashBook()
     for number in range(8):
         book.add_crash(POISON, _crash(number, early=False))
@@ -101,7 +107,7 @@
     assert book.is_quarantined(POISON)
 
 
-def _versions(*versions):
+def _book_of_versions(*versions):
     """Return a book with three crashes of each version of the software."""
     book = CrashBook()
     for version, part in itertools.product(versions, range(3)):
@@ -112,26 +118,26 @@
     return book
 
 
-def test_release_of_all_upstreams_gives_a_culprit_another_run():
-    """Guards against a request that is refused after its fault is mended."""
-    book = _versions("v1")
+def test_upgrade_of_all_upstreams_allows_another_run():
+    """Guards against refusing a request after its fault was fixed."""
+    book = _book_of_versions("v1")
     assert not book.may_run(POISON, {"v1"})
     assert not book.may_run(POISON, {"v1", "v2"})
     assert book.may_run(POISON, {"v2"})
 
 
-def test_culprit_that_crashes_a_second_release_gets_no_third():
-    """Guards against each release that costs further upstreams."""
-    book = _versions("v1")
+def test_crash_of_a_second_release_makes_the_quarantine_permanent():
+    """Guards against losing further upstreams after every release."""
+    book = _book_of_versions("v1")
     crash = Crash(upstream="u9", started_ms=1, software="v2")
     book.add_crash(POISON, crash)
     assert not book.may_run(POISON, {"v2"})
     assert not book.may_run(POISON, {"v3"})
 
 
-def test_upstreams_of_unknown_software_give_no_further_run():
-    """Guards against taking a missing version for another release."""
-    book = _versions("")
+def test_unknown_software_allows_no_further_run():
+    """Guards against treating a missing version as another release."""
+    book = _book_of_versions("")
     assert not book.may_run(POISON, {""})
     assert not book.may_run(POISON, set())
 
@@ -144,8 +150,8 @@
     assert only == crash_book.EARLY_WEIGHT
 
 
-def test_flood_of_suspects_does_not_push_a_culprit_out(monkeypatch):
-    """Guards against a table that many different requests overflow."""
+def test_many_suspects_do_not_evict_a_quarantined_request(monkeypatch):
+    """Guards against eviction when many different requests fill the table."""
     monkeypatch.setattr(crash_book, "MAX_SUSPECTS", 50)
     book = _book(poison=(1, 2, 3))
     for number in range(500):
@@ -154,7 +160,7 @@
     assert book.is_quarantined(POISON)
 
 
-def test_flood_of_culprits_keeps_the_table_bounded(monkeypatch):
+def test_many_culprits_keep_the_table_bounded(monkeypatch):
     """Guards against memory that grows with the number of culprits."""
     monkeypatch.setattr(crash_book, "MAX_SUSPECTS", 10)
     monkeypatch.setattr(crash_book, "MAX_QUARANTINED", 20)
@@ -167,8 +173,11 @@
     assert not book.is_quarantined(b"culprit-0")
 
 
-def test_many_cleared_crashes_are_bounded_without_endless_news(monkeypatch):
-    """Guards against two books that tell each other the same for ever."""
+def test_bounded_cleared_crashes_converge(monkeypatch):
+    """Guards against two books that exchange the same records for ever.
+
+    A crash that one book has dropped must not return from the other one.
+    """
     monkeypatch.setattr(crash_book, "MAX_CRASHES", 4)
     one, two = CrashBook(), CrashBook()
     for number in range(12):
@@ -186,16 +195,16 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_books_agree_in_whatever_order_records_come(seed):
-    """Guards against entries that judge the same request differently."""
-    chance = random.Random(seed)
+def test_books_converge_for_any_order_of_records(seed):
+    """Guards against entries that disagree on the same request."""
+    rng = random.Random(seed)
     names = [b"a", b"b", b"c"]
-    news = [
+    records = [
         SuspectRecord(
-            fingerprint=chance.choice(names),
+            fingerprint=rng.choice(names),
             **{
-                chance.choice(("crashes", "crashes", "cleared")): (
-                    _crash(chance.randrange(6), early=chance.random() < 0.7),
+                rng.choice(("crashes", "crashes", "cleared")): (
+                    _crash(rng.randrange(6), early=rng.random() < 0.7),
                 )
             },
         )
@@ -203,8 +212,8 @@
     ]
     books = []
     for _ in range(3):
-        order = news + chance.sample(news, 10)
-        chance.shuffle(order)
+        order = records + rng.sample(records, 10)
+        rng.shuffle(order)
         book = CrashBook()
         for record in order:
             book.merge((record,))
--- a/currantdeal/policy/tests/test_decode_memory.py
+++ b/currantdeal/policy/tests/test_decode_memory.py
@@ -10,8 +10,11 @@
 from currantdeal.policy.shared_load import EntryLoad
 
 
-def test_a_burst_goes_to_the_engines_in_turn():
-    """Twelve generations come at once to an entry with three engines."""
+def test_burst_is_spread_evenly_over_engines():
+    """Guards against an engine that gets more of a burst than others.
+
+    Twelve generations arrive at once at an entry with three engines.
+    """
     load = EntryLoad()
     placed = []
     for _ in range(12):
@@ -21,11 +24,11 @@
     assert [placed.count(name) for name in "abc"] == [4, 4, 4]
 
 
-def test_long_generations_count_by_their_tokens():
-    """One long generation among short ones.
+def test_load_is_measured_in_tokens():
+    """Guards against an engine that is overfilled beside a long generation.
 
-    Counted as one request, its engine would get as many more as the others
-    and preempt them.
+    Counted as one request, the long generation would let its engine get as
+    many short ones as the others, which it then has to preempt.
     """
     load = EntryLoad()
     load.began("a", 20_000)
@@ -37,7 +40,7 @@
     assert placed.count("a") == 0
 
 
-def test_a_full_engine_is_asked_last_for_a_moment():
+def test_engine_that_refused_comes_last_during_backoff():
     load = EntryLoad()
     memory = DecodeMemory(load=load)
     memory.refused("a", now_s=0.0)
@@ -48,17 +51,18 @@
     assert later == ["a", "b"]
 
 
-def test_entries_that_know_nothing_of_each_other_do_not_ask_the_same_first():
-    """Eighty entries place a stream each on twenty engines.
+def test_entries_without_sums_choose_different_engines_first():
+    """Guards against a thundering herd on the first engine.
 
-    Asked in the order of their names, the first engine takes streams until
-    it is full while the others are empty.  Their outputs then grow beyond
-    its memory, some are preempted, and those callers see a long pause.
+    Eighty entries place a stream each on twenty engines.  In the order of
+    names, the first engine would be filled while the others are idle.  The
+    outputs of its streams would then outgrow its memory, and the callers of
+    preempted streams would see a long pause.
     """
     engines = [f"e{number}" for number in range(20)]
-    draws = random.Random(7)
+    rng = random.Random(7)
     firsts = Counter(
-        _order(EntryLoad(), engines, draws=draws)[0] for _ in range(80)
+        _order(EntryLoad(), engines, rng=rng)[0] for _ in range(80)
     )
     assert max(firsts.values()) <= 12
     assert len(firsts) >= 15
@@ -71,35 +75,38 @@
 
 
 def test_engine_with_an_open_connection_is_preferred_among_equal_ones():
-    """Guards against a new connection for each reservation."""
+    """Guards against opening a new connection for each reservation."""
     engines = [f"e{number}" for number in range(20)]
     for seed in range(20):
-        draws = random.Random(seed)
+        rng = random.Random(seed)
         found = _order(
-            EntryLoad(), engines, draws=draws, connected={"e7"}.__contains__
+            EntryLoad(), engines, rng=rng, connected={"e7"}.__contains__
         )
         assert found[0] == "e7"
 
 
 def test_open_connection_does_not_outweigh_free_memory():
-    """Guards against a connected engine that is filled beside idle ones."""
+    """Guards against filling a connected engine while others are idle."""
     load = EntryLoad()
     load.began("a", 9_000)
     order = _order(load, "abc", connected={"a"}.__contains__)
     assert order[-1] == "a"
 
 
-def test_the_estimate_is_kept_within_what_is_allowed():
-    """A caller estimates more output than it allows, or gives none."""
-    wild = GenerationSize(
+def test_reservation_stays_within_the_allowed_output_and_the_capacity():
+    """Guards against oversized reservations for estimates by callers.
+
+    A caller may estimate more output than it allows, or give no estimate.
+    """
+    excessive = GenerationSize(
         prompt_tokens=100, max_output_tokens=50, expected_output_tokens=900
     )
-    silent = GenerationSize(
+    missing = GenerationSize(
         prompt_tokens=100, max_output_tokens=50, expected_output_tokens=0
     )
-    assert 100 < tokens_to_reserve(silent, 0) <= 150
-    assert tokens_to_reserve(wild, 0) <= 160
-    assert tokens_to_reserve(wild, 120) == 120
+    assert 100 < tokens_to_reserve(missing, 0) <= 150
+    assert tokens_to_reserve(excessive, 0) <= 160
+    assert tokens_to_reserve(excessive, 120) == 120
 
 
 def _order(
@@ -108,7 +115,7 @@
     *,
     memory=None,
     now_s=0.0,
-    draws=None,
+    rng=None,
     distance=lambda name: 0,
     connected=None,
 ):
@@ -118,7 +125,7 @@
         tokens=4_000,
         capacity=30_000,
         distance=distance,
-        random=draws or random.Random(1),
+        random=rng or random.Random(1),
         now_s=now_s,
         connected=connected,
     )
--- a/currantdeal/policy/tests/test_late_callers.py
+++ b/currantdeal/policy/tests/test_late_callers.py
@@ -8,18 +8,18 @@
 TOKENS = 3_800
 STREAM_S = 4.0
 STEP_S = 0.05
-FRESH_WAIT_S = 0.55
-LATE_WAIT_S = 2.7
+NEW_WAIT_S = 0.55
+RETRY_WAIT_S = 2.7
 BURST_S = 8.0
 ENGINES = 3
 CALLERS = 83
 
 
-def _burst(late_full):
-    """Return the callers served in time, late and not at all.
+def _serve_burst(late_full):
+    """Return the numbers of callers served in time, late and not at all.
 
-    A burst asks a third more than three engines can hold; whoever is refused
-    comes back once, after a second or two.
+    The load of a burst exceeds the memory of three engines by a third; a
+    refused caller retries once, after a second or two.
     """
     random = Random(5)
     load = EntryLoad()
@@ -30,7 +30,7 @@
     waiting = []
     ends = []
     served = {"in time": 0, "late": 0, "lost": 0}
-    returns = []
+    retries = []
     for step in range(300):
         now_s = step * STEP_S
         load.take(PoolLoad(held={}, unreachable={}), now_s=now_s)
@@ -41,10 +41,10 @@
             (a, "in time") for a in arrivals if now_s - STEP_S < a <= now_s
         ]
         waiting += [
-            (r, "late") for r in returns if now_s - STEP_S < r <= now_s
+            (r, "late") for r in retries if now_s - STEP_S < r <= now_s
         ]
         random.shuffle(waiting)
-        left = []
+        still_waiting = []
         for since_s, kind in waiting:
             found = memory.order(
                 engines,
@@ -55,38 +55,39 @@
                 now_s=now_s,
                 full=FULL if kind == "in time" else late_full,
             )
-            wait_s = FRESH_WAIT_S if kind == "in time" else LATE_WAIT_S
+            wait_s = NEW_WAIT_S if kind == "in time" else RETRY_WAIT_S
             if found:
                 load.began(found[0], TOKENS)
                 ends.append((now_s + STREAM_S, found[0]))
                 served[kind] += 1
             elif now_s - since_s < wait_s:
-                left.append((since_s, kind))
+                still_waiting.append((since_s, kind))
             elif kind == "in time":
-                returns.append(now_s + random.uniform(0.8, 3.0))
+                retries.append(now_s + random.uniform(0.8, 3.0))
             else:
                 served["lost"] += 1
-        waiting = left
+        waiting = still_waiting
     return served
 
 
-def test_callers_who_come_back_do_not_make_new_ones_late():
-    """A burst asks more than the engines hold.
+def test_retrying_callers_do_not_make_new_ones_late():
+    """Guards against a retry storm when a burst exceeds the engines' memory.
 
-    Treated like new ones, callers who were refused take the memory of others
-    who could still be served in time, and those come back in their turn.
+    With equal priority, retries take memory from new callers that could still
+    be served in time, and those retry in turn.
     """
-    alike = _burst(FULL)
-    behind = _burst(LATE_FULL)
-    assert behind["in time"] > 1.1 * alike["in time"]
-    assert behind["lost"] <= 0.1 * CALLERS
-    assert sum(behind.values()) == CALLERS
+    equal = _serve_burst(FULL)
+    limited = _serve_burst(LATE_FULL)
+    assert limited["in time"] > 1.1 * equal["in time"]
+    assert limited["lost"] <= 0.1 * CALLERS
+    assert sum(limited.values()) == CALLERS
 
 
-def test_a_caller_who_has_waited_before_is_known_by_what_it_has_left():
-    """Callers of a route name twelve to fourteen seconds.
+def test_retry_is_detected_by_its_remaining_timeout():
+    """Guards against retries that are taken for new callers.
 
-    One that was refused after half a second and waited two more has less.
+    Callers of the route set timeouts of twelve to fourteen seconds; one that
+    was refused after half a second and waited two more has less left.
     """
     random = Random(2)
     book = PatienceBook()
@@ -98,15 +99,15 @@
     assert book.has_returned("drafts", 14.0 - 3.0)
 
 
-def test_routes_whose_callers_wait_less_are_told_apart():
-    """A caller of a quick route has not waited before."""
+def test_patience_is_compared_within_a_route():
+    """Guards against taking new callers of a quick route for retries."""
     book = PatienceBook()
     book.has_returned("drafts", 14.0)
     assert not book.has_returned("quick", 2.0)
 
 
-def test_retry_is_known_by_what_other_entries_saw():
-    """Guards against retries that a fleet of many entries takes for new."""
+def test_retry_is_detected_by_the_patience_that_other_entries_saw():
+    """Guards against missed retries when each of many entries sees few."""
     others = [PatienceBook() for _ in range(20)]
     for seconds, book in enumerate(others):
         book.has_returned("drafts", 12.0 + seconds / 10)
@@ -114,31 +115,37 @@
     for number, book in enumerate(others):
         load = EntryLoad().report(unreachable=(), patience=book.longest_s)
         sums.take_entry(number, load, now_s=0.0)
-    alone, told = PatienceBook(), PatienceBook()
-    told.learn(sums.total(now_s=0.0).patience)
+    alone, informed = PatienceBook(), PatienceBook()
+    informed.learn(sums.total(now_s=0.0).patience)
     assert not alone.has_returned("drafts", 10.5)
-    assert told.has_returned("drafts", 10.5)
-    assert not told.has_returned("drafts", 12.0)
+    assert informed.has_returned("drafts", 10.5)
+    assert not informed.has_returned("drafts", 12.0)
 
 
-def test_caller_that_names_no_end_makes_nobody_a_retry():
-    """Guards against one deadline that puts a whole fleet's callers behind."""
-    book, told = PatienceBook(), PatienceBook()
+def test_caller_with_a_huge_timeout_does_not_turn_others_into_retries():
+    """Guards against one long timeout that makes all callers retries.
+
+    Without the limit of the route, every other caller would be below it.
+    """
+    book, informed = PatienceBook(), PatienceBook()
     book.has_returned("drafts", 1e9, limit_s=14.0)
-    told.learn(book.longest_s)
+    informed.learn(book.longest_s)
     assert not book.has_returned("drafts", 12.0, limit_s=14.0)
-    assert not told.has_returned("drafts", 12.0, limit_s=14.0)
+    assert not informed.has_returned("drafts", 12.0, limit_s=14.0)
 
 
-def test_shorter_timeout_of_a_route_makes_nobody_a_retry():
-    """Guards against new callers that a change of the route puts behind."""
+def test_shorter_timeout_of_a_route_does_not_turn_callers_into_retries():
+    """Guards against demoting new callers after the route was changed."""
     book = PatienceBook()
     book.has_returned("drafts", 14.0, limit_s=14.0)
     assert not book.has_returned("drafts", 6.0, limit_s=5.0)
 
 
-def test_a_patience_that_nobody_names_any_more_is_forgotten():
-    """Callers were changed to wait for half as long."""
+def test_patience_that_is_no_longer_used_decays():
+    """Guards against taking all callers for retries after a change.
+
+    The callers of the route now set half of their former timeout.
+    """
     book = PatienceBook()
     book.has_returned("drafts", 14.0)
     for _ in range(1_000):
--- a/currantdeal/policy/tests/test_prompt_reader.py
+++ b/currantdeal/policy/tests/test_prompt_reader.py
@@ -27,7 +27,7 @@
     return found[0].upstream
 
 
-def _reads_itself(wait_s, *, tokens=PROMPT_TOKENS, left_s=TARGET_S):
+def _prefills_locally(wait_s, *, tokens=PROMPT_TOKENS, left_s=TARGET_S):
     best = PromptEstimate(upstream="p1", expected_s=wait_s)
     return decode_engine_reads(
         best,
@@ -38,11 +38,11 @@
     )
 
 
-def test_a_burst_of_prompts_fills_the_queues_evenly():
-    """Forty prompts come at once to eight engines.
+def test_burst_of_prompts_fills_queues_evenly():
+    """Guards against long prefill queues next to idle engines.
 
-    Where they are sent to the engines beside their decode engines, some wait
-    for ten others, a second long, beside engines without work.
+    Forty prompts arrive at once for eight engines.  If each went to the engine
+    nearest to its decode engine, some would wait a second behind ten others.
     """
     backlog = dict.fromkeys((f"p{n}" for n in range(8)), 0)
     random = Random(3)
@@ -54,8 +54,11 @@
     assert set(placed.values()) == {5}
 
 
-def test_entries_with_the_same_sums_do_not_choose_the_same_engine():
-    """Twelve prompts are placed before the sums tell of any of them."""
+def test_entries_with_the_same_sums_choose_different_engines():
+    """Guards against a thundering herd on the engine with the least backlog.
+
+    Twelve prompts are placed before any of them is in the sums.
+    """
     backlog = dict.fromkeys((f"p{n}" for n in range(8)), 0)
     random = Random(3)
     placed = Counter(_choose(backlog, random=random) for _ in range(12))
@@ -63,10 +66,9 @@
 
 
 def test_prompts_go_to_the_shorter_queue_even_if_it_is_far():
-    """A prefill engine near the decode engine has two prompts waiting.
+    """Guards against a queue at a near engine while farther ones are idle.
 
-    Judged by its many slots it would look idle, and prompts would queue
-    there while another engine reads none.
+    Two prompts wait at the near engine; by its many slots it would look idle.
     """
     backlog = {"good": 0, "bad": 0, "third": 0}
     distance = {"good": 0, "bad": 2, "third": 2}.get
@@ -79,7 +81,7 @@
     assert sorted(chosen.count(name) for name in backlog) == [2, 2, 2]
 
 
-def test_another_region_is_worth_its_delay_only_for_a_shorter_queue():
+def test_other_region_is_used_only_for_a_shorter_queue():
     distance = {"near": 0, "far": 2}.get
     idle = {"near": 0, "far": 0}
     assert _choose(idle, distance=distance) == "near"
@@ -87,41 +89,48 @@
     assert _choose(queued, distance=distance) == "far"
 
 
-def test_a_prompt_of_one_long_caller_counts_by_its_length():
-    """One prompt of twenty thousand tokens stands among short ones."""
+def test_backlog_is_measured_in_tokens():
+    """Guards against head-of-line blocking by a prompt of 20,000 tokens.
+
+    Counted in prompts, its queue would be the shorter one.
+    """
     backlog = {"long": 20_000, "short": 2 * PROMPT_TOKENS}
     assert _choose(backlog) == "short"
 
 
-def test_short_prompts_leave_the_queue_to_long_ones():
-    """Short and long prompts come at once to the only prefill engine.
+def test_short_prompts_are_prefilled_locally_while_prompts_queue():
+    """Guards against long prompts that are late behind short ones.
 
-    All would wait in its queue; the last would be late, and the long ones
-    among them have no other place.
+    Short and long prompts arrive at once for the only prefill engine.  If all
+    waited in its queue, the last would be late, and long prompts cannot be
+    prefilled elsewhere.
     """
     backlog = 0
     in_time = 0
     for tokens in (2_000, 4_500) * 4 + (2_000, 2_000):
         expected_s = (backlog + tokens) * S_PER_TOKEN
-        own = _reads_itself(expected_s, tokens=tokens)
-        if not own:
+        local = _prefills_locally(expected_s, tokens=tokens)
+        if not local:
             backlog += tokens
-        in_time += own or expected_s <= TARGET_S
+        in_time += local or expected_s <= TARGET_S
     assert backlog >= 4 * 4_500
     assert in_time == 10
 
 
-def test_a_long_prompt_does_not_stop_the_streams_of_a_decode_engine():
-    """Its pause would make each of a dozen streams late for one caller."""
-    assert not _reads_itself(1.0, tokens=6_000)
+def test_long_prompt_is_not_prefilled_locally():
+    """Guards against a pause that makes all streams of the engine late.
+
+    A dozen streams would be late for one caller.
+    """
+    assert not _prefills_locally(1.0, tokens=6_000)
 
 
-def test_a_caller_who_is_late_anyway_makes_no_stream_pause():
-    assert not _reads_itself(1.0, left_s=0.0)
+def test_prompt_that_is_late_anyway_is_not_prefilled_locally():
+    assert not _prefills_locally(1.0, left_s=0.0)
 
 
-def test_without_a_prefill_engine_the_decode_engine_reads():
-    """The only prefill engine crashed; waiting for another takes seconds."""
+def test_without_a_prefill_engine_prompts_are_prefilled_locally():
+    """Guards against waiting for seconds after the only engine crashed."""
     assert decode_engine_reads(
         None,
         tokens=6_000,
@@ -131,7 +140,7 @@
     )
 
 
-def _patience_s(expected_s, *, tokens=PROMPT_TOKENS):
+def _timeout_s(expected_s, *, tokens=PROMPT_TOKENS):
     return prompt_patience_s(
         PromptEstimate(upstream="p1", expected_s=expected_s),
         tokens=tokens,
@@ -140,27 +149,29 @@
     )
 
 
-def test_a_dark_engine_is_given_up_while_there_is_time():
-    """A prefill engine goes dark and keeps its connections open.
+def test_unresponsive_engine_times_out_in_time_for_local_prefill():
+    """Guards against late callers of an engine that stopped responding.
 
-    Waited for until the reservation ends, each of its callers is late.
+    Its connections stay open, so nothing else ends the wait before the
+    reservation expires.
     """
     idle_s = PROMPT_TOKENS * S_PER_TOKEN
-    assert _patience_s(idle_s) + 2 * idle_s <= 0.7
+    assert _timeout_s(idle_s) + 2 * idle_s <= 0.7
 
 
-def test_a_busy_engine_is_not_given_up_in_vain():
-    """Prompts queue, and their callers will be late whoever reads them.
+def test_busy_engine_does_not_time_out_early():
+    """Guards against prompts that are prefilled twice while prompts queue.
 
-    Given up on, each prompt is read twice, and the queue grows by it.
+    Their callers are late in any case, and each second prefill lengthens the
+    queue.
     """
     idle_s = PROMPT_TOKENS * S_PER_TOKEN
-    assert _patience_s(5 * idle_s) > 1.5
-    assert _patience_s(idle_s, tokens=6_000) > 1.5
+    assert _timeout_s(5 * idle_s) > 1.5
+    assert _timeout_s(idle_s, tokens=6_000) > 1.5
 
 
-def test_an_engine_that_several_entries_cannot_reach_comes_late():
-    """An engine has gone dark; its queue looks empty for that very reason."""
-    backlog = {"dark": 0, "busy": 2 * PROMPT_TOKENS}
-    assert _choose(backlog, suspects=("dark",)) == "busy"
-    assert _choose({"dark": 0}, suspects=("dark",)) == "dark"
+def test_engine_that_several_entries_cannot_reach_comes_last():
+    """Guards against preferring a silent engine for its empty queue."""
+    backlog = {"silent": 0, "busy": 2 * PROMPT_TOKENS}
+    assert _choose(backlog, suspects=("silent",)) == "busy"
+    assert _choose({"silent": 0}, suspects=("silent",)) == "silent"
--- a/currantdeal/policy/tests/test_reading_turns.py
+++ b/currantdeal/policy/tests/test_reading_turns.py
@@ -3,15 +3,15 @@
 
 from currantdeal.policy.reading_turns import ReadingTurns
 
-READ_S = 0.15
+PREFILL_S = 0.15
 NOTICE_S = 0.03
 
 
-def _meetings(*, told):
-    """Return how many readings begin while another one goes on.
+def _count_overlaps(*, notify):
+    """Return how many prefills start while another one is in progress.
 
-    Nine entries have sixty prompts of 0.15 s read by one engine in thirty
-    seconds; what one begins, the others know after 0.03 s, or never.
+    Nine entries send sixty prompts, of 0.15 s each, to one engine in thirty
+    seconds.  The other entries are notified after 0.03 s, or never.
     """
     random = Random(4)
     views = [ReadingTurns() for _ in range(9)]
@@ -22,35 +22,35 @@
             notices.remove((known_s, entry))
             for number, view in enumerate(views):
                 if number != entry:
-                    view.begin("d1", READ_S, now_s=known_s - NOTICE_S)
+                    view.begin("d1", PREFILL_S, now_s=known_s - NOTICE_S)
         entry = random.randrange(9)
         wait_s = views[entry].free_in_s("d1", now_s=arrived_s)
-        views[entry].begin("d1", READ_S, now_s=arrived_s)
+        views[entry].begin("d1", PREFILL_S, now_s=arrived_s)
         starts.append(arrived_s + wait_s)
-        if told:
+        if notify:
             notices.append((arrived_s + NOTICE_S, entry))
     starts.sort()
-    return sum(b - a < READ_S for a, b in pairwise(starts))
+    return sum(b - a < PREFILL_S for a, b in pairwise(starts))
 
 
-def test_prompts_of_many_entries_do_not_meet_at_one_engine():
-    """Two prompts read at once make every stream of an engine late.
+def test_prefills_of_many_entries_rarely_overlap_at_one_engine():
+    """Guards against concurrent prefills that make an engine's streams late.
 
-    Without any word of the others a quarter of the readings meet; with it
-    only those that begin within the time in which the word is passed on.
+    Without notices a quarter of the prefills overlap; with them, only those
+    that start before a notice arrives.
     """
-    assert _meetings(told=False) > 10
-    assert _meetings(told=True) < _meetings(told=False) / 3
+    assert _count_overlaps(notify=False) > 10
+    assert _count_overlaps(notify=True) < _count_overlaps(notify=False) / 3
 
 
-def test_who_waits_is_known_before_its_turn_comes():
-    """Two entries wait for the same reading to end.
+def test_waiting_prefill_is_recorded_before_it_starts():
+    """Guards against two entries that wait for the same prefill to end.
 
-    If each told the others only when it begins, both would begin together.
+    If each notified the others only at its start, both would start together.
     """
     turns = ReadingTurns()
-    turns.begin("d1", READ_S, now_s=0.0)
+    turns.begin("d1", PREFILL_S, now_s=0.0)
     first_s = turns.free_in_s("d1", now_s=0.1)
-    turns.begin("d1", READ_S, now_s=0.1)
+    turns.begin("d1", PREFILL_S, now_s=0.1)
     second_s = turns.free_in_s("d1", now_s=0.1)
-    assert second_s >= first_s + READ_S
+    assert second_s >= first_s + PREFILL_S
--- a/currantdeal/policy/tests/test_reset_outcome.py
+++ b/currantdeal/policy/tests/test_reset_outcome.py
@@ -16,13 +16,13 @@
     for moment in Moment
     if has_moment(kind, moment)
 ]
-RUNS_ONCE = (CallKind.NON_IDEMPOTENT, CallKind.STREAM, CallKind.ORDER)
-"""Kinds of which a second run does harm."""
+UNSAFE_TO_RETRY = (CallKind.NON_IDEMPOTENT, CallKind.STREAM, CallKind.ORDER)
+"""Kinds of calls whose second run does harm."""
 
 
 @pytest.mark.parametrize(("kind", "moment"), PAIRS)
 def test_not_run_is_said_only_before_anything_was_sent(kind, moment):
-    """Guards against a "not run" about a call that may have run."""
+    """Guards against reporting "not run" for a call that may have run."""
     found = reset_outcome(kind, moment)
     assert (found.ran is Ran.NO) == (moment is Moment.CONNECTING)
     if found.told is Told.NOT_RUN:
@@ -31,21 +31,21 @@
 
 @pytest.mark.parametrize(("kind", "moment"), PAIRS)
 def test_what_runs_once_is_never_sent_again(kind, moment):
-    """Guards against an order that runs twice after a reset."""
+    """Guards against a non-idempotent call that runs twice after a reset."""
     found = reset_outcome(kind, moment)
-    if kind in RUNS_ONCE and moment is not Moment.CONNECTING:
+    if kind in UNSAFE_TO_RETRY and moment is not Moment.CONNECTING:
         assert found.repeat_by is RepeatBy.NOBODY
         assert not found.by_entry
 
 
 @pytest.mark.parametrize(("kind", "moment"), PAIRS)
-def test_caller_with_a_part_of_a_stream_gets_no_second_answer(kind, moment):
+def test_started_stream_is_cut_or_resumed(kind, moment):
     """Guards against an error answer in the middle of a stream."""
     found = reset_outcome(kind, moment)
-    begun = moment in (Moment.BETWEEN_EVENTS, Moment.WITHIN_EVENT)
-    assert (found.told is Told.CUT) == begun
+    started = moment in (Moment.BETWEEN_EVENTS, Moment.WITHIN_EVENT)
+    assert (found.told is Told.CUT) == started
     assert (found.repeat_by is RepeatBy.RESUMED) == (
-        begun and kind is CallKind.RESUMABLE_STREAM
+        started and kind is CallKind.RESUMABLE_STREAM
     )
 
 
@@ -53,8 +53,8 @@
     "kind",
     [CallKind.IDEMPOTENT, CallKind.RESUMABLE_STREAM, CallKind.AUXILIARY],
 )
-def test_harmless_call_is_repeated_at_every_moment(kind):
-    """Guards against a failure that another upstream could have hidden."""
+def test_safe_call_is_retried_at_every_moment(kind):
+    """Guards against failures that a retry at another upstream would avoid."""
     moments = [m for m in Moment if has_moment(kind, m)]
     assert all(reset_outcome(kind, m).by_entry for m in moments)
 
--- a/currantdeal/policy/tests/test_shared_budget.py
+++ b/currantdeal/policy/tests/test_shared_budget.py
@@ -11,36 +11,36 @@
 
 
 def test_all_entries_together_stay_within_the_budget():
-    """All upstreams of a service crash and every request wants a repeat.
+    """Guards against a retry storm after a crash of all upstreams.
 
-    Eight entries that each kept a whole budget would send eight times as
-    much as the upstreams that are left can take.
+    Every request needs a retry.  Eight entries with a whole budget each would
+    send eight times the retries that the remaining upstreams can serve.
     """
     budgets = _budgets(8)
-    repeats, requests = [], 0
+    retries, requests = [], 0
     for step in range(300):
         now_s = step / 10.0
         for budget in budgets:
             budget.note_request(now_s=now_s)
             requests += 1
             if budget.take(now_s=now_s, entries=8):
-                repeats.append(now_s)
+                retries.append(now_s)
     for start in range(0, 200):
-        begins = start / 10.0
-        within = [t for t in repeats if begins <= t < begins + WINDOW_S]
-        asked = 8 * 100
-        assert len(within) <= RATIO * asked + ALLOWANCE
+        start_s = start / 10.0
+        in_window = [t for t in retries if start_s <= t < start_s + WINDOW_S]
+        received = 8 * 100
+        assert len(in_window) <= RATIO * received + ALLOWANCE
 
 
-def test_a_quiet_entry_may_repeat_at_once():
+def test_entry_without_requests_may_retry_at_once():
     (budget,) = _budgets(1)
     assert budget.take(now_s=0.0, entries=8)
 
 
-def test_more_entries_have_smaller_parts():
+def test_part_of_an_entry_shrinks_with_the_number_of_entries():
     few, many = _budgets(2)
 
-    def taken(budget, entries):
+    def count_taken(budget, entries):
         return sum(budget.take(now_s=0.0, entries=entries) for _ in range(99))
 
-    assert taken(few, 8) > taken(many, 80)
+    assert count_taken(few, 8) > count_taken(many, 80)
--- a/currantdeal/policy/tests/test_shared_load.py
+++ b/currantdeal/policy/tests/test_shared_load.py
@@ -4,8 +4,8 @@
 from currantdeal.policy.decode_memory import FULL, DecodeMemory
 from currantdeal.policy.late_callers import LATE_FULL
 from currantdeal.policy.shared_load import (
-    EXPIRE_S,
-    FRESH_S,
+    MAX_SUMS_AGE_S,
+    SOURCE_TIMEOUT_S,
     EntryLoad,
     LoadBook,
     PoolLoad,
@@ -19,22 +19,22 @@
     return PoolLoad(held=held, unreachable={})
 
 
-def test_a_burst_over_many_entries_fills_the_engines_evenly():
-    """Eighty entries place two streams each on thirty engines.
+def test_burst_over_many_entries_fills_engines_evenly():
+    """Guards against overfull engines when each entry sees its own load only.
 
-    Their sums are passed on after each eight streams, as in a burst of
-    fifty a second.  Without sums each entry finds all engines empty; then
-    the fullest engine holds eleven streams, more than fit, and the emptiest
-    one.
+    Eighty entries place two streams each on thirty engines, and exchange
+    loads after every eight streams, as in a burst of fifty a second.  Without
+    sums each entry sees idle engines; the fullest engine then has eleven
+    streams, more than fit, and the emptiest has one.
     """
-    counts = _place(entries=80, rounds=2, told_each=8)
-    blind = _place(entries=80, rounds=2, told_each=10**9)
-    assert max(counts.values()) <= 7
-    assert min(counts.values()) >= 4
-    assert max(blind.values()) > 8
+    shared = _place_streams(entries=80, rounds=2, exchange_every=8)
+    unshared = _place_streams(entries=80, rounds=2, exchange_every=10**9)
+    assert max(shared.values()) <= 7
+    assert min(shared.values()) >= 4
+    assert max(unshared.values()) > 8
 
 
-def _place(*, entries, rounds, told_each):
+def _place_streams(*, entries, rounds, exchange_every):
     engines = [f"d{number}" for number in range(30)]
     loads = [EntryLoad() for _ in range(entries)]
     book = LoadBook()
@@ -53,12 +53,12 @@
         )[0]
         loads[index].began(name, TOKENS)
         counts[name] += 1
-        if placed % told_each == 0:
-            _tell(loads, book)
+        if placed % exchange_every == 0:
+            _exchange_loads(loads, book)
     return counts
 
 
-def _tell(loads, book):
+def _exchange_loads(loads, book):
     for number, load in enumerate(loads):
         report = load.report(unreachable=())
         book.take_entry(number, report, now_s=0.0)
@@ -67,8 +67,8 @@
         load.take(total, now_s=0.0)
 
 
-def test_what_an_entry_did_since_its_report_counts_at_once():
-    """An entry places a burst of its own between two sums."""
+def test_own_placements_count_before_the_next_report():
+    """Guards against ignoring a burst that the entry itself just placed."""
     load = EntryLoad()
     load.report(unreachable=())
     load.take(_load(d1=8_000), now_s=0.0)
@@ -79,18 +79,18 @@
     assert load.tokens("d1", now_s=0.3) == 12_000
 
 
-def test_an_entry_without_news_falls_back_on_its_own_counts():
-    """Control has been away for longer than sums are worth anything.
+def test_entry_with_stale_sums_falls_back_on_its_own_counts():
+    """Guards against placement by stale sums while control is unreachable.
 
-    Believed any longer, engines that have long been free would be passed
-    over and callers refused for nothing.
+    Engines that have long been idle would be skipped and callers refused
+    unnecessarily.
     """
     load = EntryLoad()
     load.began("d1", TOKENS)
     load.report(unreachable=())
     load.take(_load(d1=30_000, d2=30_000), now_s=0.0)
-    later_s = FRESH_S + 0.1
-    assert not load.knows_others(now_s=later_s)
+    later_s = MAX_SUMS_AGE_S + 0.1
+    assert not load.has_current_sums(now_s=later_s)
     assert load.tokens("d1", now_s=later_s) == TOKENS
     memory = DecodeMemory(load=load)
     order = memory.order(
@@ -104,11 +104,11 @@
     assert order == ["d2", "d1"]
 
 
-def test_engines_that_others_have_filled_are_not_asked():
-    """All memory is claimed by streams of other entries.
+def test_engines_filled_by_other_entries_are_not_asked():
+    """Guards against requests for memory that other entries have reserved.
 
-    Each engine that is asked for nothing costs a caller up to 25 ms, and a
-    stream that is squeezed in preempts another one.
+    Each refused reservation costs a caller up to 25 ms, and a stream that is
+    admitted to a full engine preempts another one.
     """
     load = EntryLoad()
     load.take(_load(d1=30_000, d2=12_000, d3=31_000), now_s=0.0)
@@ -124,20 +124,20 @@
     assert order == ["d2"]
 
 
-def test_the_streams_of_an_entry_that_died_are_forgotten():
+def test_load_of_a_silent_entry_expires():
     book = LoadBook()
     book.take_entry("entry-1", _load(d1=TOKENS), now_s=0.0)
-    book.take_entry("entry-2", _load(d1=TOKENS), now_s=EXPIRE_S)
-    assert book.total(now_s=EXPIRE_S + 0.1).held == {"d1": TOKENS}
+    book.take_entry("entry-2", _load(d1=TOKENS), now_s=SOURCE_TIMEOUT_S)
+    assert book.total(now_s=SOURCE_TIMEOUT_S + 0.1).held == {"d1": TOKENS}
     book.drop_entry("entry-2")
-    assert book.total(now_s=EXPIRE_S + 0.1).held == {}
+    assert book.total(now_s=SOURCE_TIMEOUT_S + 0.1).held == {}
 
 
-def test_one_entry_that_is_cut_off_makes_no_engine_suspect():
-    """An entry loses its network and fails to reach every engine."""
+def test_reports_of_one_partitioned_entry_make_no_engine_suspect():
+    """Guards against avoiding all engines for one entry without network."""
     book = LoadBook()
-    cut = PoolLoad(held={}, unreachable={"d1": 1, "d2": 1})
-    book.take_entry("entry-1", cut, now_s=0.0)
+    partitioned = PoolLoad(held={}, unreachable={"d1": 1, "d2": 1})
+    book.take_entry("entry-1", partitioned, now_s=0.0)
     load = EntryLoad()
     load.take(book.total(now_s=0.0), now_s=0.0)
     assert not load.is_suspect("d1", now_s=0.0)
@@ -149,7 +149,7 @@
 
 
 def test_generation_as_large_as_an_engine_goes_to_an_idle_one():
-    """Guards against large generations for which no engine ever has room."""
+    """Guards against starvation of generations that need a whole engine."""
     load = EntryLoad()
     load.take(_load(d1=4_000), now_s=0.0)
     memory = DecodeMemory(load=load)
--- a/currantdeal/policy/tests/test_spread_choice.py
+++ b/currantdeal/policy/tests/test_spread_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from currantdeal.policy.prompt_reader import estimate_prefill
-from currantdeal.policy.spread_choice import spread_order
+from currantdeal.policy.spread_choice import order_by_choices
 
 ENGINES = tuple(f"p{number}" for number in range(12))
 TOKENS = 3_000
@@ -35,40 +35,43 @@
 def _share_in_time(choose, *, seed):
     """Return the share of a burst of prompts that are prefilled in time.
 
-    Everybody places by the same backlogs, which are ``LAG_S`` old.
+    All entries place by the same backlogs, which are up to ``LAG_S`` old.
     """
     random = Random(seed)
     free_s = dict.fromkeys(ENGINES, 0.0)
-    known = {}
-    told_s = -LAG_S
+    backlogs = {}
+    updated_s = -LAG_S
     now_s = 0.0
     in_time = []
     while now_s < BURST_S:
         now_s += random.expovariate(
             UTILISATION * len(ENGINES) / (TOKENS * S_PER_TOKEN)
         )
-        if now_s - told_s >= LAG_S:
-            told_s = now_s
-            known = {
+        if now_s - updated_s >= LAG_S:
+            updated_s = now_s
+            backlogs = {
                 name: max(0.0, free_s[name] - now_s) / S_PER_TOKEN
                 for name in ENGINES
             }
-        name = choose(known, random)
+        name = choose(backlogs, random)
         free_s[name] = max(now_s, free_s[name]) + TOKENS * S_PER_TOKEN
         in_time.append(free_s[name] - now_s <= TARGET_S)
     return sum(in_time) / len(in_time)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_burst_placed_by_late_sums_is_prefilled_in_time(seed):
-    """Guards against a herd of prompts on the engine that looked idle."""
+def test_burst_placed_by_stale_sums_is_prefilled_in_time(seed):
+    """Guards against a thundering herd on the engine with the least backlog.
+
+    Until the next sums, all entries would choose the same engine.
+    """
     least = _share_in_time(_least_loaded, seed=seed)
     chosen = _share_in_time(_estimated, seed=seed)
     assert 1.0 - chosen <= 0.5 * (1.0 - least)
 
 
 def test_prompts_cross_regions_only_where_queues_differ():
-    """Guards against KV caches moved between regions for no shorter queue."""
+    """Guards against transfers between regions without a shorter queue."""
     random = Random(4)
     near = ENGINES[:3]
     firsts = [
@@ -87,11 +90,11 @@
     assert set(firsts) == set(near)
 
 
-def test_the_most_loaded_upstream_never_comes_first():
+def test_most_loaded_upstream_never_comes_first():
     random = Random(1)
     load = {name: number for number, name in enumerate(ENGINES)}
     for _ in range(200):
-        order = spread_order(
+        order = order_by_choices(
             ENGINES, cost=load.get, random=random, unseen=99.0
         )
         assert order[0] != ENGINES[-1]
@@ -99,12 +102,12 @@
 
 
 def test_first_choices_are_spread_over_equally_loaded_upstreams():
-    """Guards against entries that all place on the same upstream."""
+    """Guards against a thundering herd on one of several equal upstreams."""
     random = Random(2)
     firsts = {
-        spread_order(ENGINES, cost=lambda name: 0, random=random, unseen=99.0)[
-            0
-        ]
+        order_by_choices(
+            ENGINES, cost=lambda name: 0, random=random, unseen=99.0
+        )[0]
         for _ in range(200)
     }
     assert firsts == set(ENGINES)
@@ -112,5 +115,7 @@
 
 def test_without_unseen_placements_the_least_loaded_comes_first():
     load = {name: number for number, name in enumerate(ENGINES)}
-    order = spread_order(ENGINES, cost=load.get, random=Random(3), unseen=0.4)
+    order = order_by_choices(
+        ENGINES, cost=load.get, random=Random(3), unseen=0.4
+    )
     assert order == list(ENGINES)
--- a/currantdeal/policy/tests/test_stage_plan.py
+++ b/currantdeal/policy/tests/test_stage_plan.py
@@ -1,10 +1,10 @@
 from currantdeal.policy.demand import (
-    Busy,
+    BusyEngines,
     Demand,
     DemandMeter,
     busy_engines,
 )
-from currantdeal.policy.stage_plan import plan_stages, wanted_prefill
+from currantdeal.policy.stage_plan import plan_stages, prefill_count
 from currantdeal.registry import Stage
 from currantdeal.registry.tests.builders import an_upstream
 
@@ -17,68 +17,71 @@
     ]
 
 
-def test_a_pool_that_fits_is_left_as_it_is():
-    busy = Busy(prefill=0.95, decode=2.4)
+def test_split_that_fits_the_demand_is_kept():
+    busy = BusyEngines(prefill=0.95, decode=2.4)
     assert plan_stages(_engines(2, 4), busy=busy) == ()
 
 
-def test_engines_that_are_lost_are_made_up_for():
-    """Two of four decode engines leave, two prefill engines are left.
+def test_lost_decode_engines_are_replaced():
+    """Guards against refusals for lack of memory while prefill engines idle.
 
-    Streams are refused for want of memory while prefill engines idle.
+    Two of four decode engines leave, and two prefill engines remain.
     """
-    busy = Busy(prefill=0.5, decode=2.6)
+    busy = BusyEngines(prefill=0.5, decode=2.6)
     (change,) = plan_stages(_engines(2, 2), busy=busy)
     assert change.stage is Stage.DECODE
 
 
-def test_without_any_prefill_engine_one_is_made():
-    """The only prefill engine crashes for good."""
-    busy = Busy(prefill=0.5, decode=1.5)
+def test_lost_prefill_engine_is_replaced():
+    """Guards against a pool that cannot prefill after its only engine crashed.
+
+    The crashed engine does not come back.
+    """
+    busy = BusyEngines(prefill=0.5, decode=1.5)
     (change,) = plan_stages(_engines(0, 4), busy=busy)
     assert change.stage is Stage.PREFILL
 
 
-def test_a_burst_of_long_prompts_moves_engines_to_prefill():
-    busy = Busy(prefill=4.0, decode=2.0)
+def test_burst_of_long_prompts_moves_engines_to_prefill():
+    busy = BusyEngines(prefill=4.0, decode=2.0)
     changes = plan_stages(_engines(2, 10), busy=busy)
     assert {change.stage for change in changes} == {Stage.PREFILL}
     assert len(changes) >= 3
 
 
 def test_both_stages_keep_an_engine():
-    assert wanted_prefill(2, busy=Busy(prefill=9.0, decode=0.1)) == 1
-    assert wanted_prefill(2, busy=Busy(prefill=0.0, decode=9.0)) == 1
-    assert wanted_prefill(1) == 0
+    assert prefill_count(2, busy=BusyEngines(prefill=9.0, decode=0.1)) == 1
+    assert prefill_count(2, busy=BusyEngines(prefill=0.0, decode=9.0)) == 1
+    assert prefill_count(1) == 0
 
 
-def test_two_holders_plan_the_same():
-    """A new leader takes over in the middle of a change.
+def test_plan_does_not_depend_on_the_order_of_records():
+    """Guards against more changing engines after a leader election.
 
-    If it chose other engines, more would be away at once.
+    A new leader that takes over during a change must choose the same engines.
     """
     engines = _engines(5, 4)
     assert plan_stages(engines) == plan_stages(list(reversed(engines)))
 
 
 def test_refused_generations_count_as_demand():
-    """A pool refuses half of its callers.
+    """Guards against underestimating the load of a pool that refuses callers.
 
-    Measured by what ran alone, it would look half as loaded.
+    It refuses half of them; by those that ran it would seem half as loaded.
     """
-    ran = Demand(offered=20, ended=20, memory_token_s=8e4)
-    refused = Demand(offered=40, ended=20, memory_token_s=8e4)
-    few = busy_engines(ran, window_s=10.0, kv_tokens=10_000)
-    many = busy_engines(refused, window_s=10.0, kv_tokens=10_000)
-    assert many.decode == 2 * few.decode
+    all_ran = Demand(offered=20, ended=20, memory_token_s=8e4)
+    half_ran = Demand(offered=40, ended=20, memory_token_s=8e4)
+    without_refusals = busy_engines(all_ran, window_s=10.0, kv_tokens=10_000)
+    with_refusals = busy_engines(half_ran, window_s=10.0, kv_tokens=10_000)
+    assert with_refusals.decode == 2 * without_refusals.decode
 
 
-def test_prompts_that_waited_do_not_look_like_slow_engines():
-    """Of forty entries one has met an idle prefill engine.
+def test_time_in_queues_does_not_count_as_prefill_time():
+    """Guards against taking engines from decoding in the middle of a burst.
 
-    Each has seen a prompt or two.  If every entry counted its own prompts by
-    its own fastest reading, engines would be taken from decoding in the
-    middle of a burst.
+    Each of forty entries has sent a prompt or two, and only one entry met an
+    idle prefill engine.  If each entry used its own fastest prefill, time in
+    queues would count as demand.
     """
     total = Demand()
     for number in range(40):
@@ -92,11 +95,12 @@
 
 
 def test_prompts_of_refused_callers_do_not_keep_engines_on_prefill():
-    """Two of four decode engines leave a pool of six in a burst.
+    """Guards against idle prefill engines while decode engines refuse callers.
 
-    The two that are left are full, and nearly half of the callers are
-    refused before their prompt is read.  Two prefill engines are busy for a
-    third of the time each; one of them is worth more as a decode engine.
+    Two of four decode engines leave a pool of six in a burst.  The remaining
+    two are full, and nearly half of the callers are refused before their
+    prompt is prefilled.  Two prefill engines are busy for a third of the time
+    each, so one of them is of more use as a decode engine.
     """
     meter = DemandMeter()
     for _ in range(180):
@@ -111,31 +115,41 @@
     assert plan_stages(_engines(1, 3), busy=busy) == ()
 
 
-def test_a_pool_that_shrinks_before_any_demand_is_split_anew():
-    """Two decode engines of a pool of six leave before streams have ended."""
+def test_pool_that_shrinks_before_demand_is_measured_is_split_anew():
+    """Guards against keeping the old split when no demand is known.
+
+    Two decode engines of a pool of six leave before streams have ended.
+    """
     (change,) = plan_stages(_engines(2, 2))
     assert change.stage is Stage.DECODE
 
 
-def test_prompts_that_queue_move_an_engine_to_prefill():
-    """The only prefill engine of five is busy all the time."""
-    busy = Busy(prefill=0.98, decode=1.6)
+def test_queue_of_prompts_moves_an_engine_to_prefill():
+    """Guards against a bottleneck at the only prefill engine of five.
+
+    It is busy all the time.
+    """
+    busy = BusyEngines(prefill=0.98, decode=1.6)
     (change,) = plan_stages(_engines(1, 4), busy=busy)
     assert change.stage is Stage.PREFILL
 
 
-def test_a_burst_that_ends_before_the_change_takes_no_decode_engine():
-    """The only prefill engine of five is busy for a burst of five seconds.
+def test_short_burst_of_prompts_takes_no_decode_engine():
+    """Guards against a change of stage that takes longer than the burst.
 
-    A decode engine first ends its streams and then changes, for ten seconds
-    and more in which the other three refuse callers.
+    The only prefill engine of five is busy for a burst of five seconds.  A
+    decode engine has to drain its streams before it changes; for ten seconds
+    and more, the other three would refuse callers.
     """
-    busy = Busy(prefill=0.8, decode=1.9)
+    busy = BusyEngines(prefill=0.8, decode=1.9)
     assert plan_stages(_engines(1, 4), busy=busy) == ()
 
 
-def test_the_engine_that_holds_least_is_changed():
-    """A full decode engine would be away for as long as its longest stream."""
+def test_engine_with_the_least_load_is_changed():
+    """Guards against a change that waits for the longest stream of an engine.
+
+    A full decode engine is unavailable for that long.
+    """
     held = {"e0": 9_000, "e1": 30_000, "e2": 4_000, "e3": 30_000}
     engines = _engines(0, 4)
     (change,) = plan_stages(engines, held=held)
--- a/currantdeal/policy/tests/test_standing.py
+++ b/currantdeal/policy/tests/test_standing.py
@@ -1,7 +1,7 @@
 from random import Random
 
 from currantdeal.policy.standing import (
-    LONGEST_PAUSE_S,
+    MAX_EJECTION_S,
     UNRESPONSIVE_S,
     Standings,
     in_order,
@@ -15,7 +15,7 @@
 ALL = (GOOD, BAD, THIRD)
 
 
-def _share_of(name, standings, *, now_s, tries=300):
+def _share_of_first_choices(name, standings, *, now_s, tries=300):
     random = Random(1)
     first = [
         in_order(
@@ -30,38 +30,38 @@
     return first.count(name) / tries
 
 
-def test_an_upstream_that_fails_half_of_its_requests_gets_few():
-    """An upstream answers half of its requests with errors.
+def test_upstream_with_many_errors_gets_few_requests():
+    """Guards against a gray failure: half of the answers are errors.
 
-    Its health check is good and it is never full, so that by load alone it
-    would look the best.
+    Health checks pass and the upstream is never full, so balancing by load
+    alone would prefer it.
     """
     standings = Standings()
     for number in range(20):
         standings.answered("bad", error=number % 2 == 0)
         standings.answered("good", error=number % 7 == 0)
         standings.answered("third", error=number % 7 == 0)
-    assert _share_of("bad", standings, now_s=0.0) < 0.05
+    assert _share_of_first_choices("bad", standings, now_s=0.0) < 0.05
 
 
-def test_a_silent_upstream_is_left_alone_for_longer_and_longer():
-    """An upstream takes connections and answers nothing.
+def test_ejection_time_of_a_silent_upstream_grows():
+    """Guards against frequent attempts at an upstream that never answers.
 
-    Each try costs a caller half of its time.
+    It accepts connections, so each attempt costs a caller half of its time.
     """
     standings = Standings()
     now_s = 0.0
-    tried = 0
+    attempts = 0
     while now_s < 30.0:
         if not standings.is_out("bad", now_s=now_s):
             standings.unreachable("bad", now_s=now_s)
-            tried += 1
+            attempts += 1
         now_s += 0.1
-    assert tried <= 12
-    assert not standings.is_out("bad", now_s=now_s + LONGEST_PAUSE_S)
+    assert attempts <= 12
+    assert not standings.is_out("bad", now_s=now_s + MAX_EJECTION_S)
 
 
-def test_it_is_used_again_after_its_first_good_answer():
+def test_ejected_upstream_is_readmitted_after_a_good_answer():
     standings = Standings()
     for _ in range(5):
         standings.unreachable("bad", now_s=0.0)
@@ -69,7 +69,7 @@
     assert not standings.is_out("bad", now_s=0.1)
 
 
-def test_when_all_seem_out_one_is_tried_all_the_same():
+def test_ejected_upstreams_are_tried_when_all_are_ejected():
     standings = Standings()
     for record in ALL:
         standings.unreachable(record.upstream, now_s=0.0)
@@ -83,8 +83,11 @@
     assert len(found) == 3
 
 
-def test_a_burst_is_spread_over_all_places():
-    """Thirty requests come at once to three upstreams of six places."""
+def test_burst_is_spread_evenly_over_upstreams():
+    """Guards against an upstream that gets more of a burst than others.
+
+    Thirty requests arrive at once for three upstreams of six slots.
+    """
     standings = Standings()
     random = Random(1)
     for _ in range(30):
@@ -100,15 +103,15 @@
     assert counts == [10, 10, 10]
 
 
-def test_near_ones_are_preferred_until_they_are_busier():
+def test_near_upstream_is_preferred_until_it_is_busier():
     standings = Standings()
-    far = {"good": 2, "bad": 0, "third": 2}
+    distances = {"good": 2, "bad": 0, "third": 2}
     chosen = []
     for _ in range(9):
         record = in_order(
             ALL,
             standings,
-            distance=lambda record: far[record.upstream],
+            distance=lambda record: distances[record.upstream],
             random=Random(1),
             now_s=0.0,
         )[0]
@@ -118,10 +121,10 @@
     assert len(set(chosen)) == 3
 
 
-def test_an_old_report_does_not_count():
-    """The load that an upstream told is seconds old.
+def test_stale_load_report_is_ignored():
+    """Guards against avoiding an idle upstream for an old load report.
 
-    Its requests have long ended; it would be avoided for nothing.
+    The report is seconds old and its requests have ended since.
     """
     standings = Standings()
     standings.reported("bad", 6, now_s=0.0)
@@ -130,7 +133,10 @@
 
 
 def test_upstream_that_timed_out_is_reported_until_it_answers():
-    """Guards against a dark engine that each entry of many meets by itself."""
+    """Guards against an unresponsive engine that each entry has to detect.
+
+    Among many entries, every single one would lose a request to it.
+    """
     standings = Standings()
     standings.timed_out("p1", now_s=0.0)
     assert standings.unresponsive(now_s=0.1) == ("p1",)
@@ -140,7 +146,7 @@
 
 
 def test_timeout_is_reported_for_a_bounded_time():
-    """Guards against an engine that is avoided for good after one timeout."""
+    """Guards against an engine that is avoided for ever after one timeout."""
     standings = Standings()
     standings.timed_out("p1", now_s=0.0)
     assert standings.unresponsive(now_s=UNRESPONSIVE_S) == ()
