--- a/currantdeal/registry/__init__.py
+++ b/currantdeal/registry/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: upstreams by their heartbeats, entries by theirs."""
+"""Registers upstreams, and defines the records in heartbeats."""
 
 from currantdeal.registry.records import (
     EntryRecord,
--- a/currantdeal/registry/records.py
+++ b/currantdeal/registry/records.py
@@ -1,11 +1,11 @@
-"""What upstreams and entries say of themselves."""
+"""Defines the records that upstreams and entries announce in heartbeats."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class UpstreamState(str, Enum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new work."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -13,7 +13,7 @@
 
 
 class Stage(str, Enum):
-    """Which part of a generation a model engine does."""
+    """Stage of a generation that a model engine runs."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -21,23 +21,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamRecord:
-    """The latest that is known of one upstream.
+    """State of one upstream according to its latest heartbeat.
 
     Parameters
     ----------
     upstream : str
-        Its name, which a restart may keep or change.
+        Name of the upstream; a restart may keep or change it.
     address : str
         Host and port.
     started_ms : int
-        Unix time of the start of its process, which tells one incarnation
-        from the next.
+        Unix time of the start of its process; identifies the incarnation.
     sequence : int
-        Counts the heartbeats of one incarnation.
+        Number of the heartbeat within the incarnation.
     stage : Stage or None
-        Only of model engines.
+        Stage that a model engine runs; None for other upstreams.
     cold_s : float
-        How much longer it is slow after its start, as of the heartbeat.
+        Time that its warm-up after the start still takes, as of the
+        heartbeat; it is slower until then.
     software : str
         Version of the software that it runs, or empty.
     """
@@ -56,23 +56,28 @@
 
     @property
     def order(self):
-        """Sorts what an upstream said: a later incarnation, a leave, last."""
+        """Sort key of records of one upstream; the last record is current.
+
+        Later incarnations sort last; within an incarnation, a leave does.
+        """
         gone = self.state is UpstreamState.GONE
         return (self.started_ms, gone, self.sequence)
 
 
 @dataclass(frozen=True, kw_only=True)
 class EntryRecord:
-    """The latest that an entry has said of itself.
+    """State of one entry according to its latest heartbeat.
 
     Parameters
     ----------
+    instance : str
+        Name of the entry.
     address : str
-        Where callers connect.
+        Host and port for callers.
     ready : bool
-        Whether callers should be sent there.
+        Whether callers should be directed to it.
     started_ms, sequence : int
-        As for upstreams.
+        As in ``UpstreamRecord``.
     """
 
     instance: str
@@ -85,5 +90,5 @@
 
     @property
     def order(self):
-        """Sorts what an entry said."""
+        """Sort key of records of one entry; the last record is current."""
         return (self.started_ms, self.sequence)
--- a/currantdeal/registry/tests/builders.py
+++ b/currantdeal/registry/tests/builders.py
@@ -1,11 +1,11 @@
-"""Builders of records for tests."""
+"""Builds records of upstreams and entries for tests."""
 
 from currantdeal.registry import EntryRecord, UpstreamRecord, UpstreamState
 
 
 def an_upstream(**changes):
     """Return the record of a ready upstream of the plain service."""
-    given = {
+    defaults = {
         "upstream": "u1",
         "service": "shop",
         "address": "10.0.0.1:80",
@@ -15,12 +15,12 @@
         "started_ms": 1_000,
         "sequence": 1,
     }
-    return UpstreamRecord(**{**given, **changes})
+    return UpstreamRecord(**{**defaults, **changes})
 
 
 def an_entry(**changes):
     """Return the record of a ready entry."""
-    given = {
+    defaults = {
         "instance": "entry-1",
         "address": "10.1.0.1:8100",
         "data_center": "dc1",
@@ -29,4 +29,4 @@
         "started_ms": 1_000,
         "sequence": 1,
     }
-    return EntryRecord(**{**given, **changes})
+    return EntryRecord(**{**defaults, **changes})
--- a/currantdeal/registry/tests/test_upstreams.py
+++ b/currantdeal/registry/tests/test_upstreams.py
@@ -6,11 +6,11 @@
     return UpstreamRegistry(heartbeat_s=1.2)
 
 
-def test_late_heartbeat_does_not_bring_back_one_that_left():
-    """A heartbeat waits behind a partition while its sender leaves.
+def test_late_heartbeat_does_not_bring_back_an_upstream_that_left():
+    """A heartbeat is delayed by a partition while its sender leaves.
 
-    When it arrives the sender's port is closed, and callers who were sent
-    there would get errors.
+    When it arrives, the sender's port is closed; requests routed there would
+    fail.
     """
     registry = _registry()
     registry.merge(an_upstream(sequence=1), now_s=0.0)
@@ -20,9 +20,9 @@
 
 
 def test_draining_is_not_undone_by_an_older_heartbeat():
-    """Two heartbeats overtake each other on different connections.
+    """Two heartbeats on different connections arrive out of order.
 
-    An upstream that drains would be given work until it is gone.
+    The draining upstream must not be sent new work until it leaves.
     """
     registry = _registry()
     draining = an_upstream(sequence=4, state=UpstreamState.DRAINING)
@@ -32,20 +32,21 @@
 
 
 def test_a_restart_under_the_same_name_is_a_new_incarnation():
-    """An upstream crashes and starts again under its name.
+    """An upstream crashes and starts restarted under its name.
 
-    Its sequence begins anew, so that the sequence alone would hide it.
+    Its sequence numbers restart, so that a comparison of the sequence alone
+    would ignore it.
     """
     registry = _registry()
     registry.merge(an_upstream(sequence=9), now_s=0.0)
     registry.leave("u1", now_s=0.5)
-    again = an_upstream(sequence=1, started_ms=2_000)
-    assert registry.merge(again, now_s=1.0)
-    assert registry.present == (again,)
+    restarted = an_upstream(sequence=1, started_ms=2_000)
+    assert registry.merge(restarted, now_s=1.0)
+    assert registry.present == (restarted,)
 
 
 def test_an_address_belongs_to_the_later_incarnation():
-    """A heartbeat of a crashed upstream comes after its address was reused.
+    """A heartbeat of a crashed upstream arrives after its address is reused.
 
     Work sent there under the old name would be refused by the new owner.
     """
@@ -62,7 +63,7 @@
     assert [r.upstream for r in registry.present] == ["u2"]
 
 
-def test_a_renewal_is_no_news_but_ends_silence():
+def test_a_renewal_is_no_change_but_ends_silence():
     registry = _registry()
     registry.merge(an_upstream(sequence=1), now_s=0.0)
     assert registry.is_silent("u1", now_s=7.0)
@@ -70,7 +71,7 @@
     assert not registry.is_silent("u1", now_s=7.2)
 
 
-def test_a_renewal_heard_elsewhere_ends_silence():
+def test_a_renewal_received_elsewhere_ends_silence():
     registry = _registry()
     registry.merge(an_upstream(sequence=1), now_s=0.0)
     registry.heard("u1", 1_000, 4, now_s=7.0)
@@ -79,7 +80,7 @@
     assert registry.is_silent("u1", now_s=20.0)
 
 
-def test_the_silent_are_forgotten_after_a_while():
+def test_silent_upstreams_expire():
     registry = _registry()
     registry.merge(an_upstream(), now_s=0.0)
     assert registry.expire(now_s=20.0) == ()
--- a/currantdeal/registry/upstreams.py
+++ b/currantdeal/registry/upstreams.py
@@ -1,43 +1,47 @@
-"""The registry of upstreams: soft state, merged from heartbeats.
+"""Registers upstreams as soft state, merged from heartbeats.
 
-Heartbeats arrive late, twice, out of order, and after their sender has left
-or crashed.  Every control instance merges the same records by the same rules
-and so all come to hold the same, whatever the order in which they hear:
+Heartbeats may arrive late, twice, out of order, or after their sender has
+left or crashed.  All control instances merge the same records by the same
+rules, so that they converge to the same state regardless of the order in
+which they receive the records:
 
 - of one name, a later incarnation wins, and within one incarnation leaving
   is final and the higher sequence wins;
 - of two names at one address, the incarnation that started later wins.
 
-Without the first rule a heartbeat that was held up in a partition brings
-back an upstream that has left; callers notice it as requests that fail at a
-closed port.  Without the second one work goes to an address under the name
-of its earlier owner, and is refused there.
+Without the first rule, a heartbeat delayed by a network partition would bring
+back an upstream that has left, and requests would fail at a closed port.
+Without the second one, work would be sent to an address under the name of its
+previous owner, and the new owner would refuse it.
 """
 
 from dataclasses import replace
 
 from currantdeal.registry.records import UpstreamState
 
-SILENT_AFTER_BEATS = 5.0
+MAX_MISSED_HEARTBEATS = 5.0
 """Missed heartbeats after which an upstream counts as silent.
 
 Heartbeats may be seconds late; five intervals of 1.2 s are twice the longest
-delay seen.
+delay observed.
 """
 
-REMOVE_AFTER_S = 30.0
-"""Silence after which an upstream is forgotten.
+EXPIRE_AFTER_S = 30.0
+"""Time without heartbeats after which an upstream is removed.
 
-Upstreams cut off from control still serve, so that they are kept for much
-longer than the partitions that pass by themselves.
+Upstreams that are partitioned from the control instances still serve, so that
+they are retained for much longer than a transient partition lasts.
 """
 
-KEEP_GONE_S = 60.0
-"""Time for which a leave is remembered against late heartbeats."""
+TOMBSTONE_RETENTION_S = 60.0
+"""Time for which the record of a leave is retained.
+
+It prevents late heartbeats from bringing back the upstream.
+"""
 
 
 class UpstreamRegistry:
-    """Records of upstreams, merged.
+    """Merged records of upstreams.
 
     Parameters
     ----------
@@ -59,14 +63,14 @@
     """
 
     def __init__(self, *, heartbeat_s):
-        """Start empty."""
-        self._silent_after_s = SILENT_AFTER_BEATS * heartbeat_s
+        """Start without records."""
+        self._silent_after_s = MAX_MISSED_HEARTBEATS * heartbeat_s
         self._records = {}
-        self._heard_s = {}
+        self._last_heartbeat_s = {}
 
     @property
     def records(self):
-        """All records, those of upstreams that left included."""
+        """All records, including those of upstreams that have left."""
         return tuple(self._records.values())
 
     @property
@@ -83,63 +87,75 @@
         return self._records.get(upstream)
 
     def merge(self, record, *, now_s):
-        """Take in a record and return whether it brought anything new.
+        """Merge a record and return whether it changed the registered state.
 
-        A heartbeat that merely renews is not new, but keeps its upstream
-        from counting as silent.
+        A heartbeat that only renews its upstream is no change, but prevents
+        the upstream from counting as silent.
         """
-        known = self._records.get(record.upstream)
-        if known is not None and record.order <= known.order:
+        current = self._records.get(record.upstream)
+        if current is not None and record.order <= current.order:
             return False
-        if not self._wins_address(record):
+        if not self._resolve_address_conflict(record):
             return False
         self._records[record.upstream] = record
-        self._heard_s[record.upstream] = now_s
+        self._last_heartbeat_s[record.upstream] = now_s
         renewed = replace(record, sequence=0, cold_s=0.0)
-        return known is None or renewed != replace(
-            known, sequence=0, cold_s=0.0
+        return current is None or renewed != replace(
+            current, sequence=0, cold_s=0.0
         )
 
     def leave(self, upstream, *, now_s):
-        """Note that an upstream has left; returns its last record, or None.
+        """Record that an upstream has left.
+
+        A leave does not specify an incarnation, so it applies to the one
+        registered.
 
-        A leave names no incarnation, so it concerns the one known.
+        Returns
+        -------
+        UpstreamRecord or None
+            The record of the leave; None for an unknown upstream.
         """
-        known = self._records.get(upstream)
-        if known is None:
+        current = self._records.get(upstream)
+        if current is None:
             return None
-        gone = replace(known, state=UpstreamState.GONE)
+        gone = replace(current, state=UpstreamState.GONE)
         self._records[upstream] = gone
-        self._heard_s[upstream] = now_s
+        self._last_heartbeat_s[upstream] = now_s
         return gone
 
     def heard(self, upstream, started_ms, sequence, *, now_s):
-        """Note a renewing heartbeat that another instance received."""
-        known = self._records.get(upstream)
-        if known is None or known.started_ms != started_ms:
+        """Record a renewal that another control instance received."""
+        current = self._records.get(upstream)
+        if current is None or current.started_ms != started_ms:
             return
-        if known.state is UpstreamState.GONE or sequence < known.sequence:
+        if current.state is UpstreamState.GONE or sequence < current.sequence:
             return
-        self._records[upstream] = replace(known, sequence=sequence)
-        self._heard_s[upstream] = now_s
+        self._records[upstream] = replace(current, sequence=sequence)
+        self._last_heartbeat_s[upstream] = now_s
 
     def is_silent(self, upstream, *, now_s):
-        """Return whether an upstream has missed its heartbeats."""
-        return now_s - self._heard_s[upstream] > self._silent_after_s
+        """Return whether an upstream has missed too many heartbeats."""
+        return now_s - self._last_heartbeat_s[upstream] > self._silent_after_s
 
     def expire(self, *, now_s):
-        """Forget who has been silent too long; returns their records."""
-        lost = [
+        """Remove records that were not renewed in time.
+
+        Returns
+        -------
+        tuple of UpstreamRecord
+            Those of upstreams that had not left.
+        """
+        expired = [
             record
             for name, record in self._records.items()
-            if now_s - self._heard_s[name] > _kept_s(record)
+            if now_s - self._last_heartbeat_s[name] > _retention_s(record)
         ]
-        for record in lost:
+        for record in expired:
             del self._records[record.upstream]
-            del self._heard_s[record.upstream]
-        return tuple(r for r in lost if r.state is not UpstreamState.GONE)
+            del self._last_heartbeat_s[record.upstream]
+        return tuple(r for r in expired if r.state is not UpstreamState.GONE)
 
-    def _wins_address(self, record):
+    def _resolve_address_conflict(self, record):
         others = [
             other
             for other in self.present
@@ -156,7 +172,7 @@
         return True
 
 
-def _kept_s(record):
+def _retention_s(record):
     if record.state is UpstreamState.GONE:
-        return KEEP_GONE_S
-    return REMOVE_AFTER_S
+        return TOMBSTONE_RETENTION_S
+    return EXPIRE_AFTER_S
--- a/currantdeal/routing/__init__.py
+++ b/currantdeal/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which service a request goes to: routes, services and their limits."""
+"""Routes requests to services: configuration, validation and look-up."""
 
 from currantdeal.routing.check import check_config
 from currantdeal.routing.config import (
--- a/currantdeal/routing/check.py
+++ b/currantdeal/routing/check.py
@@ -1,32 +1,38 @@
-"""What makes a configuration invalid.
+"""Validates configurations.
 
-An invalid configuration is refused as a whole, with the first reason found.
-If it came into force, requests would go to a service that does not exist, or
-to one of two routes by chance; callers would notice it as errors on routes
-that worked before the change.
+An invalid configuration is rejected as a whole, with the first reason found.
+If it were applied, requests could go to a service that does not exist, or to
+an arbitrary one of two routes; callers would get errors on routes that worked
+before the change.
 """
 
 from currantdeal.routing.errors import InvalidConfigError
 
 
 def check_config(config):
-    """Raise ``InvalidConfigError`` unless the configuration may be used.
+    """Raise ``InvalidConfigError`` if a configuration is invalid.
+
+    Parameters
+    ----------
+    config : RoutingConfig
+        The configuration.
 
     Examples
     --------
     >>> from currantdeal.routing import RoutingConfig, check_config
     >>> check_config(RoutingConfig(version=1, routes=(), services=()))
     """
-    known = _service_names(config)
-    places = set()
+    service_names = _service_names(config)
+    paths = set()
     for route in config.routes:
-        _check_route(route, known)
-        place = (route.host, route.prefix)
-        if place in places:
+        _check_route(route, service_names)
+        path = (route.host, route.prefix)
+        if path in paths:
             raise InvalidConfigError(
-                f"route {route.name}: {route.host}{route.prefix} is taken"
+                f"route {route.name}: {route.host}{route.prefix} is taken by"
+                " another route"
             )
-        places.add(place)
+        paths.add(path)
 
 
 def _service_names(config):
@@ -36,7 +42,7 @@
     return names
 
 
-def _check_route(route, known):
+def _check_route(route, service_names):
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         raise InvalidConfigError(
             f"route {route.name}: the prefix {route.prefix!r} must begin and"
@@ -44,12 +50,12 @@
         )
     if route.timeout_s <= 0.0:
         raise InvalidConfigError(f"route {route.name}: its timeout is 0")
-    if any(part.weight < 0 for part in route.services):
+    if any(weighted.weight < 0 for weighted in route.services):
         raise InvalidConfigError(f"route {route.name}: a weight is negative")
-    if sum(part.weight for part in route.services) <= 0:
+    if sum(weighted.weight for weighted in route.services) <= 0:
         raise InvalidConfigError(f"route {route.name}: weights add up to 0")
-    for part in route.services:
-        if part.service not in known:
+    for weighted in route.services:
+        if weighted.service not in service_names:
             raise InvalidConfigError(
-                f"route {route.name}: unknown service {part.service}"
+                f"route {route.name}: unknown service {weighted.service}"
             )
--- a/currantdeal/routing/config.py
+++ b/currantdeal/routing/config.py
@@ -1,8 +1,8 @@
-"""The operators' configuration as a whole: routes, services, limits.
+"""Defines the operators' configuration: routes, services and limits.
 
-A configuration is replaced as one piece and known by its version.  It names
-services; which upstreams serve a service is learned from what the upstreams
-announce, so a route's service is a selector over the announced label.
+A configuration is replaced as a whole and identified by its version.  It
+names services but not upstreams: upstreams announce which service they
+belong to, so that the service of a route selects upstreams by this label.
 """
 
 from dataclasses import dataclass
@@ -10,11 +10,12 @@
 
 
 class Repeat(str, Enum):
-    """Whether a request may be sent to an upstream a second time.
+    """Whether a request may be sent to an upstream more than once.
 
-    ``RESUMABLE`` streams may go on at another upstream after the last event
-    that was received; ``ONCE`` requests only where the first upstream says
-    that it did not run them.
+    ``FREELY`` marks idempotent requests.  ``RESUMABLE`` streams may continue
+    at another upstream after the last event received.  ``ONCE`` requests may
+    be sent to another upstream only if the first one states that it did not
+    run them.
     """
 
     FREELY = "freely"
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WeightedService:
-    """One of the services that share a route's requests."""
+    """A service of a route, and its weight in the random choice."""
 
     service: str
     weight: float
@@ -32,24 +33,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """Where the requests of one host and path prefix go.
+    """Maps requests of one host and path prefix to services.
 
     Parameters
     ----------
     repeat : Repeat
-        Whether the requests may be repeated.
+        Whether the requests may be sent more than once.
     streaming : bool
-        True when the answer is a stream of events.
+        True if the answer is a stream of events.
     timeout_s : float
-        Longest time that a caller is kept waiting for the whole answer.
+        Timeout of the complete answer.
     target_s : float
-        Time in which the answer, or its first event, is worth most.
+        Target latency of the answer, or of its first event.
     pause_target_s : float
-        Longest pause between events of a stream that is on time; 0 if none.
+        Target for the longest gap between events of a stream; 0 if none.
     max_upstreams : int
-        Most upstreams that may run one request.
+        Maximum number of upstreams that may run one request.
     rank : int
-        Urgency; 0 is the most urgent.
+        Priority; 0 is the highest.
     """
 
     name: str
@@ -67,20 +68,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineTraits:
-    """What all model engines of a service have in common.
+    """Properties that all model engines of a service share.
 
     Parameters
     ----------
+    slots : int
+        Number of requests that an engine runs concurrently.
     kv_tokens : int
-        Tokens that fit into an engine's KV memory.
+        Capacity of an engine's KV cache, in tokens.
     hold_s : float
-        Longest time for which memory may be reserved ahead.
+        Longest time for which memory may be reserved in advance.
     tokens_per_event : int
-        Tokens that one event of a stream carries.
+        Number of tokens in one event of a stream.
     switch_s : float
-        Time an engine needs to change between prefill and decode.
+        Time that an engine takes to switch between prefill and decode.
     handle_s : float
-        Time for which a prefill engine keeps what it read for another.
+        Time for which a prefill engine keeps the KV cache of a prompt that
+        another engine will fetch.
     """
 
     slots: int
@@ -93,7 +97,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """A group of interchangeable upstreams; ``engine`` for model engines."""
+    """A group of interchangeable upstreams.
+
+    ``engine`` is set only for services of model engines.
+    """
 
     name: str
     health_path: str
@@ -103,7 +110,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how slowly."""
+    """Size limits and timeouts of a caller's requests."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
--- a/currantdeal/routing/errors.py
+++ b/currantdeal/routing/errors.py
@@ -4,8 +4,8 @@
 
 
 class RoutingError(CurrantdealError):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class InvalidConfigError(RoutingError):
-    """A configuration must not come into force; the message says why."""
+    """A configuration is invalid and must not be applied."""
--- a/currantdeal/routing/table.py
+++ b/currantdeal/routing/table.py
@@ -1,8 +1,8 @@
-"""Finding the route of a request."""
+"""Looks up the route of a request."""
 
 
 class RouteTable:
-    """The routes of one configuration, ready for look-up.
+    """Index of the routes of one configuration.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, *, config):
-        """Sort the routes of each host, longest prefix first."""
+        """Index the routes by host, longest prefix first."""
         self._config = config
         self._services = {service.name: service for service in config.services}
         self._by_host = {}
@@ -39,7 +39,7 @@
 
     @property
     def limits(self):
-        """What callers may send."""
+        """The ``CallerLimits`` of the configuration."""
         return self._config.limits
 
     @property
@@ -52,12 +52,12 @@
         return self._services[name]
 
     def find(self, host, target):
-        """Return the route with the longest prefix of a path, or None.
+        """Return the route with the longest matching prefix, or None.
 
         Parameters
         ----------
         host : str
-            Host as the caller names it; a port is ignored.
+            Value of the Host header; a port is ignored.
         target : str
             Path and query.
         """
@@ -69,11 +69,11 @@
         return None
 
     def draw_service(self, route, random):
-        """Return one of a route's services, by their weights."""
-        names = [part.service for part in route.services]
+        """Return a random service of a route, according to the weights."""
+        names = [weighted.service for weighted in route.services]
         if len(names) == 1:
             return self.service(names[0])
-        weights = [part.weight for part in route.services]
+        weights = [weighted.weight for weighted in route.services]
         return self.service(random.choices(names, weights)[0])
 
 
--- a/currantdeal/routing/tests/builders.py
+++ b/currantdeal/routing/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of routes and configurations for tests."""
+"""Builds routes and configurations for tests."""
 
 from currantdeal.routing import (
     Repeat,
@@ -11,13 +11,17 @@
 
 def a_service(**changes):
     """Return a plain service."""
-    given = {"name": "shop", "health_path": "/health", "max_connections": 100}
-    return Service(**{**given, **changes})
+    defaults = {
+        "name": "shop",
+        "health_path": "/health",
+        "max_connections": 100,
+    }
+    return Service(**{**defaults, **changes})
 
 
 def a_route(**changes):
     """Return a route of idempotent calls to the plain service."""
-    given = {
+    defaults = {
         "name": "menu",
         "host": "cakes.example",
         "prefix": "/menu/",
@@ -27,10 +31,14 @@
         "timeout_s": 1.0,
         "target_s": 0.3,
     }
-    return Route(**{**given, **changes})
+    return Route(**{**defaults, **changes})
 
 
 def a_config(**changes):
     """Return a valid configuration with one route."""
-    given = {"version": 1, "routes": (a_route(),), "services": (a_service(),)}
-    return RoutingConfig(**{**given, **changes})
+    defaults = {
+        "version": 1,
+        "routes": (a_route(),),
+        "services": (a_service(),),
+    }
+    return RoutingConfig(**{**defaults, **changes})
--- a/currantdeal/serving/__init__.py
+++ b/currantdeal/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request."""
+"""Serves requests: admission, scheduling, retries and output streams."""
--- a/currantdeal/serving/claimed_calls.py
+++ b/currantdeal/serving/claimed_calls.py
@@ -1,9 +1,10 @@
-"""Claimed calls, each on a thread of its own.
+"""Runs claimed calls, each in its own thread.
 
-A call that may not run twice goes on when its caller's deadline has passed:
-the caller is told at once that the outcome is unknown, and the answer, when
-it comes, is kept for a resend.  Were the call given up at the deadline, an
-order that ran would stay without an answer for as long as its claim is kept.
+A call that must run at most once continues after its caller's deadline: the
+caller immediately gets the refusal that the outcome is unknown, and the
+answer is stored for a resend when it arrives.  If the call were aborted at
+the deadline, an order that ran would have no answer for as long as its claim
+is retained.
 """
 
 import threading
@@ -13,12 +14,12 @@
 from currantdeal.core import CurrantdealError, Outcome
 from currantdeal.serving.errors import CallerGoneError, Reason, RefusedError
 
-LATE_S = 30.0
-"""Time after the deadline for which an answer is still waited for."""
+LATE_ANSWER_TIMEOUT_S = 30.0
+"""Time after the deadline for which the service may still answer."""
 
-KEEP_MARGIN_S = 0.05
-SHORTEST_KEEP_S = 0.05
-LONGEST_KEEP_S = 2.0
+STORE_MARGIN_S = 0.05
+MIN_STORE_TIMEOUT_S = 0.05
+MAX_STORE_TIMEOUT_S = 2.0
 
 
 class ClaimedCalls:
@@ -29,11 +30,11 @@
     claims : ClaimBook
         Ends claims.
     clock : Clock
-        Time of deadlines.
+        Time for deadlines.
     """
 
     def __init__(self, *, claims, clock):
-        """Run nothing yet."""
+        """Start without running calls."""
         self._claims = claims
         self._clock = clock
         self._count = 0
@@ -45,7 +46,7 @@
         Parameters
         ----------
         claim : HeldClaim
-            Lets the call be sent; ended here in every case.
+            Permits the call; always ended here.
         send : callable
             Sends the call and returns the answer.
         """
@@ -59,18 +60,18 @@
             daemon=True,
         ).start()
         try:
-            return future.get(timeout=max(0.0, self._left_s(request)))
+            return future.get(timeout=max(0.0, self._time_left_s(request)))
         except pykka.Timeout:
             raise RefusedError(
-                "no answer in time; send the call again under the same key "
-                "to learn its outcome",
+                "no answer before the deadline; resend the call with the same "
+                "idempotency key to get its outcome",
                 reason=Reason.DEADLINE,
                 outcome=Outcome.UNKNOWN,
                 retry_after_s=1.0,
             ) from None
 
     def wait_idle(self, *, timeout_s):
-        """Return whether no call was left within the timeout."""
+        """Return whether all calls ended within the timeout."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._count == 0, timeout=timeout_s
@@ -96,21 +97,23 @@
                 self._claims.abandon(claim)
             raise
         except CallerGoneError:
-            # It is only looked for before a call is sent.
+            # Disconnection is only checked before a call is sent.
             self._claims.release(claim)
             raise
         except BaseException:
             self._claims.abandon(claim)
             raise
-        self._claims.finish(claim, answer, timeout_s=self._keep_s(request))
+        self._claims.finish(
+            claim, answer, timeout_s=self._store_timeout_s(request)
+        )
         return answer
 
-    def _keep_s(self, request):
-        # The answer is kept before it is given, so that a resend gets it
-        # also if this process dies right afterwards; but a lost leader must
-        # not make an answer late that is here in time.
-        left_s = self._left_s(request) - KEEP_MARGIN_S
-        return min(LONGEST_KEEP_S, max(SHORTEST_KEEP_S, left_s))
+    def _store_timeout_s(self, request):
+        # The answer is stored before it is returned, so that a resend gets it
+        # even if this process crashes right afterwards; but waiting for a
+        # new leader must not delay the answer beyond the deadline.
+        left_s = self._time_left_s(request) - STORE_MARGIN_S
+        return min(MAX_STORE_TIMEOUT_S, max(MIN_STORE_TIMEOUT_S, left_s))
 
-    def _left_s(self, request):
+    def _time_left_s(self, request):
         return request.work.deadline_s - self._clock.monotonic_s()
--- a/currantdeal/serving/claims.py
+++ b/currantdeal/serving/claims.py
@@ -1,4 +1,4 @@
-"""Claims on calls that may not run twice, as one instance handles them.
+"""Takes and ends claims on calls that must run at most once.
 
 See Also
 --------
@@ -34,30 +34,34 @@
 )
 
 PROPOSE_TIMEOUT_S = 2.0
-"""Time for one proposal; a leader that was lost is replaced meanwhile."""
+"""Timeout of one proposal; long enough to elect a new leader."""
 
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 """Time for which a resend waits for the running call that it repeats."""
 
-PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
-KEEP_TRYING_S = 60.0
-"""Time for which the end of a claim is proposed again and again."""
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
+RETRY_PERIOD_S = 60.0
+"""Time for which the proposal that ends a claim is retried."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class HeldClaim:
-    """A claim this instance may act on, or the answer kept with one.
+    """A claim held by this instance, or the answer stored with one.
 
     Parameters
     ----------
-    kept : ServiceAnswer or None
-        Answer of the earlier call; None when the call may be sent now.
+    key : ClaimKey
+        Identifies the claim.
+    token : int
+        Returned with the grant; required to end the claim.
+    stored_answer : ServiceAnswer or None
+        Answer of the earlier call; None if the call may be sent now.
     """
 
     key: ClaimKey
     token: int = 0
-    kept: ServiceAnswer | None = None
+    stored_answer: ServiceAnswer | None = None
 
 
 class ClaimBook:
@@ -66,70 +70,76 @@
     Parameters
     ----------
     state : StatePort
-        Where claims are agreed on.
+        The replicated state that stores claims.
     instance : InstanceId
         Owner of the claims taken here.
     clock : Clock
-        Dates claims and paces waits.
+        Timestamps claims and times waits.
     """
 
     def __init__(self, *, state, instance, clock):
-        """Hold no claims."""
+        """Start without claims."""
         self._state = state
         self._instance = instance
         self._clock = clock
-        self._late = _LateEnds(state=state, clock=clock)
+        self._background = _BackgroundProposer(state=state, clock=clock)
 
     def claim(self, request, digest):
-        """Return a claim that lets the call be sent, or a kept answer.
+        """Return a claim that permits the call, or a stored answer.
 
         Raises
         ------
         RefusedError
             If the call must not be sent.
+        CallerGoneError
+            If the caller disconnects while another call with the key runs.
         """
         work = request.work
         key = ClaimKey(
             caller=work.caller, service=work.target, key=request.key
         )
-        until_s = min(
-            work.deadline_s, self._clock.monotonic_s() + LONGEST_WAIT_S
-        )
-        pause_s = PAUSE_S
+        until_s = min(work.deadline_s, self._clock.monotonic_s() + MAX_WAIT_S)
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             result = self._propose(request, key, digest)
             if isinstance(result, ClaimGranted):
                 return HeldClaim(key=key, token=result.token)
-            kept = _kept_answer(result)
-            if kept is not None:
-                return HeldClaim(key=key, kept=kept)
-            if self._clock.monotonic_s() + pause_s >= until_s:
+            stored = _stored_answer(result)
+            if stored is not None:
+                return HeldClaim(key=key, stored_answer=stored)
+            if self._clock.monotonic_s() + backoff_s >= until_s:
                 raise _still_running()
             if request.gone():
-                raise CallerGoneError("the caller hung up")
-            self._clock.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, 2 * pause_s)
+                raise CallerGoneError("the caller disconnected")
+            self._clock.sleep(backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     def finish(self, claim, answer, *, timeout_s=PROPOSE_TIMEOUT_S):
-        """Keep the answer for resends, in the background if it takes long."""
-        kept = CallAnswer(
+        """Store the answer for resends; continues in the background if late.
+
+        Parameters
+        ----------
+        timeout_s : float
+            Longest time before this returns, in seconds.
+        """
+        stored = CallAnswer(
             status=answer.status,
             content_type=_content_type(answer),
             body=answer.body,
         )
-        self._end(
+        self._propose_end(
             FinishClaim(
                 origin=self._origin("finish"),
                 key=claim.key,
                 token=claim.token,
-                answer=kept,
+                answer=stored,
             ),
             timeout_s=timeout_s,
         )
 
     def release(self, claim):
-        """Let a resend run, after the call is proved not to have run."""
-        self._end(
+        """Allow a resend to run; the call must certainly not have run."""
+        self._propose_end(
             ReleaseClaim(
                 origin=self._origin("release"),
                 key=claim.key,
@@ -138,8 +148,8 @@
         )
 
     def abandon(self, claim):
-        """Let resends know that the outcome is unknown."""
-        self._end(
+        """Record that the outcome is unknown; resends are refused with it."""
+        self._propose_end(
             AbandonClaim(
                 origin=self._origin("abandon"),
                 key=claim.key,
@@ -156,27 +166,28 @@
         try:
             return self._state.propose(command, timeout_s=PROPOSE_TIMEOUT_S)
         except StateUnavailableError as exc:
-            # The call was not sent, so it did not run.  A claim that may yet
-            # be granted is released, or resends would meet it for a day.
+            # The call was not sent, so it did not run.  A claim that may still
+            # be granted is released; otherwise it would block resends for a
+            # day.
             if exc.proposed:
-                self._late.release_if_granted(command)
+                self._background.release_if_granted(command)
             raise not_run(
-                "the claim could not be agreed on in time",
+                "the replicated state did not commit the claim in time",
                 reason=Reason.STATE_UNAVAILABLE,
                 retry_after_s=1.0,
             ) from exc
 
-    def _end(self, command, *, timeout_s=PROPOSE_TIMEOUT_S):
+    def _propose_end(self, command, *, timeout_s=PROPOSE_TIMEOUT_S):
         try:
             self._state.propose(command, timeout_s=timeout_s)
         except StateUnavailableError:
-            # The caller's answer doesn't wait for a leader; the end of the
-            # claim is proposed again in the background.
-            self._late.propose(command)
+            # The caller's answer must not wait for a leader, so the proposal
+            # is retried in the background.
+            self._background.propose(command)
 
     def _origin(self, name):
-        # A request id that came back after a restart would be granted an
-        # old claim again, and an order could run twice.
+        # The id is random: if a request id were reused after a restart, the
+        # old claim would be granted again, and an order could run twice.
         return Origin(
             request_id=f"{name}/{uuid.uuid4().hex}",
             actor="serving",
@@ -185,8 +196,8 @@
         )
 
 
-class _LateEnds:
-    """Proposes ends of claims again until the state takes them."""
+class _BackgroundProposer:
+    """Retries proposals that end claims until the state accepts them."""
 
     def __init__(self, *, state, clock):
         self._state = state
@@ -196,7 +207,7 @@
         self._running = False
 
     def propose(self, command):
-        until_s = self._clock.monotonic_s() + KEEP_TRYING_S
+        until_s = self._clock.monotonic_s() + RETRY_PERIOD_S
         with self._lock:
             self._commands.append((command, until_s))
             if self._running:
@@ -207,7 +218,7 @@
         ).start()
 
     def release_if_granted(self, command):
-        """Propose a claim again, and release it once it is granted."""
+        """Retry proposing a claim, and release it once it is granted."""
         self.propose(command)
 
     def _run(self):
@@ -217,13 +228,13 @@
                     self._running = False
                     return
                 command, until_s = self._commands.popleft()
-            if not self._try(command):
+            if not self._propose_once(command):
                 if self._clock.monotonic_s() < until_s:
                     with self._lock:
                         self._commands.append((command, until_s))
-                self._clock.sleep(LONGEST_PAUSE_S)
+                self._clock.sleep(MAX_BACKOFF_S)
 
-    def _try(self, command):
+    def _propose_once(self, command):
         try:
             result = self._state.propose(command, timeout_s=PROPOSE_TIMEOUT_S)
         except StateUnavailableError:
@@ -241,13 +252,13 @@
         return True
 
 
-def _kept_answer(result):
-    """Return the kept answer, None while the call runs, or raise."""
+def _stored_answer(result):
+    """Return the stored answer, None while the call runs, or raise."""
     if isinstance(result, ClaimMismatch):
         raise not_run(result.message, reason=Reason.KEY_REUSED)
     if isinstance(result, ClaimTableFull):
         raise not_run(
-            "no more calls can be claimed at present",
+            "the claim table of the replicated state is full",
             reason=Reason.CLAIMS_FULL,
             retry_after_s=max(1.0, result.retry_after_s),
         )
@@ -261,14 +272,15 @@
         return None
     if claim.status is ClaimStatus.UNKNOWN:
         raise RefusedError(
-            "an earlier call with the key may or may not have run",
+            "the outcome of an earlier call with the same idempotency key is "
+            "unknown: it may or may not have run",
             reason=Reason.OUTCOME_UNKNOWN,
             outcome=Outcome.UNKNOWN,
         )
     if claim.answer is None:
         raise RefusedError(
-            "an earlier call with the key ran; its answer was too large "
-            "to be kept",
+            "an earlier call with the same idempotency key ran; its answer "
+            "was too large to be stored",
             reason=Reason.ANSWER_TOO_LARGE,
             outcome=Outcome.FAILED,
         )
@@ -290,7 +302,7 @@
 
 def _still_running():
     return RefusedError(
-        "the call is still running",
+        "an earlier call with the same idempotency key is still running",
         reason=Reason.STILL_RUNNING,
         outcome=Outcome.UNKNOWN,
         retry_after_s=1.0,
--- a/currantdeal/serving/crash_guard.py
+++ b/currantdeal/serving/crash_guard.py
@@ -1,7 +1,7 @@
-"""Keeping requests that crash upstreams from being sent again.
+"""Quarantines requests that crash upstreams.
 
 Load pattern: query of death, see ``currantdeal.policy.crash_book``.  Each
-instance has a book of its own.
+instance keeps its own ``CrashBook``.
 """
 
 import threading
@@ -12,16 +12,22 @@
 from currantdeal.serving.errors import Reason, not_run
 
 RETRY_AFTER_S = 60.0
-"""When to come back with a request in quarantine: not within a deadline."""
+"""Retry delay of a quarantined request, in seconds.
+
+It is so long that callers don't retry before their deadline.
+"""
 
 _log = structlog.get_logger(__name__)
 
 
 class CrashGuard:
-    """What one instance knows of requests that crash upstreams."""
+    """Records crashes and refuses the requests that cause them.
+
+    One instance has one guard, shared by all its threads.
+    """
 
     def __init__(self):
-        """Suspect nobody."""
+        """Start without recorded crashes."""
         self._book = CrashBook()
         self._lock = threading.Lock()
 
@@ -39,18 +45,19 @@
             )
         if refused:
             raise not_run(
-                "it is in quarantine, since upstreams that ran it crashed",
+                "the request is quarantined, since upstreams that ran it "
+                "crashed",
                 reason=Reason.QUARANTINED,
                 retry_after_s=RETRY_AFTER_S,
             )
 
-    def crashed(self, request, upstream, *, early=True):
-        """Count an upstream that ended while it ran a request.
+    def record_crash(self, request, upstream, *, early=True):
+        """Record the crash of an upstream that was running a request.
 
         Parameters
         ----------
         early : bool
-            True if it had sent no output for the request.
+            True if the upstream had sent no output for the request.
         """
         crash = Crash(
             upstream=str(upstream.upstream_id),
@@ -70,16 +77,17 @@
             quarantined=quarantined,
         )
 
-    def completed(self, request):
-        """Clear a request that an upstream has answered in full."""
+    def record_completion(self, request):
+        """Clear a request that an upstream has answered completely."""
         with self._lock:
             if self._book:
                 self._book.add_completion(request.fingerprint)
 
-    def may_send_again(self, request):
-        """Return whether a failed attempt may be followed by another one.
+    def may_retry(self, request):
+        """Return whether a failed attempt may be retried.
 
-        A first crash may have another reason than the request.
+        A single crash may have a cause other than the request, so that it
+        does not prevent a retry.
         """
         with self._lock:
             if not self._book:
--- a/currantdeal/serving/decisions.py
+++ b/currantdeal/serving/decisions.py
@@ -1,12 +1,12 @@
-"""Policy of one instance, shared by the threads that serve its requests.
+"""Policy decisions of one instance, made by an actor.
 
-The modules of ``currantdeal.policy`` know no threads; the actor lets one
-request after the other ask them.  Each question takes some microseconds.
+The modules of ``currantdeal.policy`` are not thread-safe; the actor runs the
+calls of all request threads one after the other.  Each call takes some
+microseconds.
 
-A request that is admitted gets a ``Ticket`` and waits for its turn.  What the
-scheduler says of it (a plan, a pause, or that it is given up) reaches its
-thread through the ticket's future, whichever thread made the scheduler say
-it.
+An admitted request gets a ``Ticket`` and waits on its future.  The future is
+set to the scheduler's decision (a plan, a pause or a rejection) by whichever
+call polls the scheduler, which may have been made for another request.
 """
 
 from dataclasses import dataclass
@@ -32,33 +32,37 @@
 from currantdeal.serving.errors import RefusedError
 from currantdeal.serving.view import ServingView
 
-USUAL_STEP_S = 0.02
-"""Time between outputs of a moderately busy engine, in seconds."""
+TYPICAL_STEP_S = 0.02
+"""Time between outputs of a moderately loaded engine, in seconds."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """A place in the queue.
+    """An admitted request that waits for the scheduler.
 
     Parameters
     ----------
-    turn : pykka.Future
-        Brings a ``Plan``, ``Pause`` or ``GiveUp``.
+    work : Work
+        The request.
+    decision : pykka.Future
+        Resolves to a ``Plan``, ``Pause`` or ``GiveUp``.
     """
 
     work: Work
-    turn: pykka.Future
+    decision: pykka.Future
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pause:
-    """Every engine is full: call ``poll`` after some time.
+    """Every engine is full: call ``poll`` after a delay.
 
     Parameters
     ----------
+    delay_s : float
+        The delay, in seconds.
     ticket : Ticket
-        Brings the next message; the poll of another request may have set it
-        before the pause is over.
+        Holds the next decision; the poll of another request may resolve it
+        before the delay is over.
     """
 
     delay_s: float
@@ -66,7 +70,7 @@
 
 
 class Decisions(pykka.ThreadingActor):
-    """Schedulers, learned lengths and speeds, and retries.
+    """Schedulers, estimates of lengths and speeds, and the retry budget.
 
     Parameters
     ----------
@@ -77,13 +81,13 @@
     clock : Clock
         Time of the decisions.
     rng : random.Random
-        Chance in them.
+        Source of randomness.
     load : callable
-        From an upstream id to its last ``LoadReport`` or None.
+        Maps an upstream id to its last ``LoadReport`` or None.
     weights : policy.UserWeights
-        What the user weighs more.
+        The user's weights of goodput and of wasted prefills.
     caller_weights : mapping of CallerId to float
-        Shares of callers.
+        Fair-queuing weights of callers.
     """
 
     use_daemon_thread = True
@@ -99,7 +103,7 @@
         weights=EVEN_WEIGHTS,
         caller_weights=None,
     ):
-        """Start with nothing learned."""
+        """Start without observations."""
         super().__init__()
         self._instance = instance
         self._view = view
@@ -113,11 +117,11 @@
         self._lengths = OutputLengths()
         self._retries = RetryBudget(rng=rng)
         self._schedulers = {}
-        self._turns = {}
+        self._pending = {}
         self._reports = {}
 
-    def enter(self, work):
-        """Return a ``Ticket``, or the ``Refused`` of admission."""
+    def submit(self, work):
+        """Return a ``Ticket``, or ``Refused`` by admission control."""
         self._retries.record_try()
         scheduler = self._scheduler(work)
         decision = scheduler.submit(work, now_s=self._now_s())
@@ -128,17 +132,23 @@
         return ticket
 
     def poll(self, work):
-        """Let the scheduler look again, after a pause is over."""
+        """Poll the scheduler of a request whose pause is over."""
         self._poll(self._scheduler(work))
 
-    def reserved(self, plan):
-        """Take in that all of a plan is reserved."""
+    def record_reserved(self, plan):
+        """Record that both engines of a plan are reserved."""
         scheduler = self._scheduler(plan.work)
         scheduler.reserved(plan, now_s=self._now_s())
         self._poll(scheduler)
 
-    def blocked(self, plan, upstream_id, retry_after_s):
-        """Return a new ``Ticket`` after a home refused a part of a plan."""
+    def record_refusal(self, plan, upstream_id, retry_after_s):
+        """Record that a home refused a reservation of a plan.
+
+        Returns
+        -------
+        Ticket
+            For the next decision on the request.
+        """
         scheduler = self._scheduler(plan.work)
         scheduler.blocked(
             plan,
@@ -150,32 +160,32 @@
         self._poll(scheduler)
         return ticket
 
-    def leave(self, work):
-        """Take in that a request no longer waits for its turn."""
-        self._turns.pop(work.request_id, None)
+    def cancel(self, work):
+        """Drop a request that no longer waits for a decision."""
+        self._pending.pop(work.request_id, None)
         scheduler = self._scheduler(work)
         scheduler.cancel(work.request_id)
         self._poll(scheduler)
 
-    def order_services(self, work, upstreams):
-        """Return services, those that answer fast and are idle first."""
+    def rank_services(self, work, upstreams):
+        """Return services, fast ones first, then by requests in progress."""
         now_s = self._now_s()
         group = slow_group(work, Role.SERVICE)
 
-        def burden(upstream):
+        def sort_key(upstream):
             report = self._load(upstream.upstream_id)
-            waiting = report.running + report.queued if report else 0
-            out = self._slow.is_out(group, upstream.upstream_id, now_s=now_s)
-            return (out, waiting)
+            load = report.running + report.queued if report else 0
+            slow = self._slow.is_out(group, upstream.upstream_id, now_s=now_s)
+            return (slow, load)
 
-        return sorted(upstreams, key=burden)
+        return sorted(upstreams, key=sort_key)
 
-    def count_call(self):
-        """Earn for the retries of a call to a plain service."""
+    def record_call(self):
+        """Credit the retry budget for a call to a plain service."""
         self._retries.record_try()
 
-    def may_retry(self, work, *, ran, attempts):
-        """Return the budget's ``RetryDecision`` on a failed attempt."""
+    def decide_retry(self, work, *, ran, attempts):
+        """Return the retry budget's ``RetryDecision`` on a failed attempt."""
         return self._retries.decide(
             ran=ran,
             idempotent=work.idempotent,
@@ -183,8 +193,8 @@
             time_left_s=work.deadline_s - self._now_s(),
         )
 
-    def learn_prefill(self, upstream, work, *, cached_tokens, taken_s):
-        """Take in where a prompt was computed, and how fast."""
+    def record_prefill(self, upstream, work, *, cached_tokens, taken_s):
+        """Record where a prompt was computed, and how fast."""
         self._scheduler(work).prefilled(
             work,
             upstream.upstream_id,
@@ -193,16 +203,16 @@
             now_s=self._now_s(),
         )
 
-    def learn_failure(self, work, upstream):
-        """Take in that an upstream could not be reached or fell silent."""
+    def record_failure(self, work, upstream):
+        """Record that an upstream was unreachable or timed out."""
         self._scheduler(work).failed(upstream.upstream_id, now_s=self._now_s())
 
-    def learn_path(self, work, path_s):
-        """Take in the time between start and first output."""
+    def record_first_output(self, work, path_s):
+        """Record the time between start and first output."""
         self._scheduler(work).first_output(work, path_s=path_s)
 
-    def learn_output(self, work, upstream, *, tokens, between_s):
-        """Take in the length and speed of one whole answer."""
+    def record_output(self, work, upstream, *, tokens, between_s):
+        """Record the length and speed of one complete answer."""
         self._scheduler(work).finished(
             work,
             upstream.upstream_id,
@@ -211,8 +221,14 @@
             now_s=self._now_s(),
         )
 
-    def learn_service(self, work, upstream, *, slowness):
-        """Take in how fast a plain service answered."""
+    def record_service(self, work, upstream, *, slowness):
+        """Record how slowly a plain service answered.
+
+        Parameters
+        ----------
+        slowness : float
+            Response time divided by a typical one.
+        """
         self._slow.observe(
             slow_group(work, Role.SERVICE),
             upstream.upstream_id,
@@ -221,10 +237,10 @@
         )
 
     def _scheduler(self, work):
-        known = self._schedulers.get(work.target)
-        if known is None:
-            known = self._schedulers[work.target] = self._new_scheduler()
-        return known
+        scheduler = self._schedulers.get(work.target)
+        if scheduler is None:
+            scheduler = self._schedulers[work.target] = self._new_scheduler()
+        return scheduler
 
     def _new_scheduler(self):
         return Scheduler(
@@ -244,20 +260,20 @@
         )
 
     def _new_ticket(self, work):
-        turn = self._turns[work.request_id] = pykka.ThreadingFuture()
-        return Ticket(work=work, turn=turn)
+        future = self._pending[work.request_id] = pykka.ThreadingFuture()
+        return Ticket(work=work, decision=future)
 
     def _poll(self, scheduler):
-        for message in scheduler.poll(now_s=self._now_s()):
-            work = message.work
-            turn = self._turns.pop(work.request_id, None)
-            if turn is None:
+        for decision in scheduler.poll(now_s=self._now_s()):
+            work = decision.work
+            future = self._pending.pop(work.request_id, None)
+            if future is None:
                 scheduler.cancel(work.request_id)
-            elif isinstance(message, Wait):
+            elif isinstance(decision, Wait):
                 ticket = self._new_ticket(work)
-                turn.set(Pause(delay_s=message.delay_s, ticket=ticket))
+                future.set(Pause(delay_s=decision.delay_s, ticket=ticket))
             else:
-                turn.set(message)
+                future.set(decision)
 
     def _pools_of(self, work):
         try:
@@ -266,8 +282,8 @@
                 decodes=self._view.candidates(work, Role.DECODE),
             )
         except RefusedError:
-            # The last matching upstream went while the work waited; it may
-            # come back before the deadline.
+            # The last matching upstream left while the work was queued; it
+            # may return before the deadline.
             return Pools(prefills=(), decodes=())
 
     def _load_of(self, upstream_id):
--- a/currantdeal/serving/errors.py
+++ b/currantdeal/serving/errors.py
@@ -1,4 +1,7 @@
-"""Errors of the serving layer: refusals, each with its proved outcome."""
+"""Errors of the serving layer.
+
+A refusal states the outcome of the work as far as it is certain.
+"""
 
 from enum import Enum
 
@@ -6,15 +9,15 @@
 
 
 class ServingError(CurrantdealError):
-    """Base of the serving layer's errors."""
+    """Base class of the serving layer's errors."""
 
 
 class CallerGoneError(ServingError):
-    """The caller hung up; nobody waits for an answer."""
+    """The caller has disconnected, so that no answer is sent."""
 
 
 class Reason(str, Enum):
-    """Why a request got no answer; stable names that callers may test."""
+    """Why a request was refused; a stable part of the API for callers."""
 
     UNKNOWN_TARGET = "unknown-target"
     NO_MATCHING_UPSTREAM = "no-matching-upstream"
@@ -32,22 +35,22 @@
 
 
 class RefusedError(ServingError):
-    """A request is given up; becomes the caller's final answer at once.
+    """A request failed or was not admitted; returned to its caller at once.
 
     Parameters
     ----------
     message : str
-        What went wrong, for people.
+        Human-readable reason.
     reason : Reason
-        What went wrong, for programs.
+        Machine-readable reason.
     outcome : Outcome
-        What is proved of the work.
+        Whether the work ran, as far as that is certain.
     retry_after_s : float or None
-        Seconds after which a new try may succeed; None if none will.
+        Seconds after which a retry may succeed; None if no retry will.
     """
 
     def __init__(self, message, *, reason, outcome, retry_after_s=None):
-        """Keep what the answer tells."""
+        """Store the fields of the answer."""
         super().__init__(message)
         self.reason = reason
         self.outcome = outcome
@@ -55,7 +58,7 @@
 
 
 def not_run(message, *, reason, retry_after_s=None):
-    """Return a refusal of work that is proved not to have run."""
+    """Return a refusal of work that has certainly not run."""
     return RefusedError(
         message,
         reason=reason,
@@ -65,9 +68,9 @@
 
 
 def late_answer():
-    """Return the refusal of work whose first output came too late."""
+    """Return a refusal of work whose first output missed the deadline."""
     return RefusedError(
-        "the first output came too late",
+        "the first output arrived after the deadline",
         reason=Reason.DEADLINE,
         outcome=Outcome.FAILED,
         retry_after_s=1.0,
--- a/currantdeal/serving/unbroken.py
+++ b/currantdeal/serving/failover.py
@@ -1,10 +1,10 @@
-"""The output of one request, also when its decode engine dies.
+"""Continues the output of a request when its decode engine fails.
 
-What the caller has is not sent again: another engine generates the output
-anew, and it goes on behind the part that is out.  That part has to come out
-the same, since the end of another answer would make no sense behind it; an
-engine that samples may differ, and then the stream ends with an error, which
-is the truth.
+Another engine generates the output from the start, and the part that was
+already sent to the caller is skipped.  The skipped part must be identical to
+the sent one, since otherwise the rest would belong to a different answer.
+An engine that samples may generate a different text; the stream then ends
+with an error.
 """
 
 from itertools import islice
@@ -15,27 +15,27 @@
 from currantdeal.serving.errors import Reason, RefusedError
 
 
-class UnbrokenStream:
-    """Output tokens of one request, from one engine after the other.
+class FailoverStream:
+    """Output tokens of one request, with failover between engines.
 
     Parameters
     ----------
     attempts : Attempts
-        Opens another stream where the last one broke.
+        Opens a new stream after one that failed.
     stream : OutputStream
-        The first one, whose first output has arrived.
+        The first stream, whose first output has arrived.
     """
 
     def __init__(self, *, attempts, stream):
-        """Take over the stream."""
+        """Take ownership of the stream, which ``close`` closes."""
         self._attempts = attempts
         self._stream = stream
-        self._sent = 0
+        self._sent_chunks = 0
         self._sent_text = xxh3_64()
 
     @property
     def prompt_tokens(self):
-        """Measured length of the prompt, in tokens."""
+        """Length of the prompt in tokens, as counted by the engine."""
         return self._stream.prompt_tokens
 
     @property
@@ -49,11 +49,11 @@
         Raises
         ------
         RefusedError
-            When the output cannot be completed.
+            If the output cannot be completed.
         """
         while True:
             try:
-                yield from self._rest()
+                yield from self._unsent_chunks()
                 return
             except UpstreamError as exc:
                 failure = exc
@@ -61,25 +61,26 @@
             self._stream = self._attempts.restart(failure)
 
     def close(self):
-        """Free what the engine holds."""
+        """Free the engine's memory."""
         self._stream.close()
 
-    def _rest(self):
+    def _unsent_chunks(self):
         chunks = iter(self._stream)
         self._skip_sent(chunks)
         for chunk in chunks:
             if not chunk.finish_reason:
-                self._sent += 1
+                self._sent_chunks += 1
                 self._sent_text.update(chunk.text.encode())
             yield chunk
 
     def _skip_sent(self, chunks):
-        again = xxh3_64()
-        for chunk in islice(chunks, self._sent):
-            again.update(chunk.text.encode())
-        if again.digest() != self._sent_text.digest():
+        skipped_text = xxh3_64()
+        for chunk in islice(chunks, self._sent_chunks):
+            skipped_text.update(chunk.text.encode())
+        if skipped_text.digest() != self._sent_text.digest():
             raise RefusedError(
-                "the engine was lost, and another one answers differently",
+                "the decode engine failed, and its replacement generated a "
+                "different answer",
                 reason=Reason.UPSTREAM_FAILED,
                 outcome=Outcome.FAILED,
             )
--- a/currantdeal/serving/generation.py
+++ b/currantdeal/serving/generation.py
@@ -1,4 +1,9 @@
-"""Life of a request to a model, from admission to its last output."""
+"""Serves requests to models, from admission to the last output.
+
+Each attempt reserves engines, runs the prefill, transfers its KV cache to
+the decode engine and streams the output.  Failed attempts are retried within
+the retry budget.
+"""
 
 import contextlib
 from dataclasses import replace
@@ -16,10 +21,10 @@
     RefusedError,
     late_answer,
 )
-from currantdeal.serving.filling import Filling
+from currantdeal.serving.failover import FailoverStream
+from currantdeal.serving.prefill_transfer import PrefillTransfer
 from currantdeal.serving.requests import Completion
 from currantdeal.serving.streams import OutputStream
-from currantdeal.serving.unbroken import UnbrokenStream
 
 RETRY_AFTER_S = 1.0
 
@@ -30,29 +35,29 @@
     Parameters
     ----------
     parts : ServingParts
-        Ports and helpers.
+        Shared dependencies.
     """
 
     def __init__(self, *, parts):
-        """Keep the parts."""
+        """Store the dependencies."""
         self._parts = parts
 
     def open(self, request):
-        """Return an ``UnbrokenStream`` whose first output has arrived.
+        """Return a ``FailoverStream`` whose first output has arrived.
 
         Raises
         ------
         RefusedError
-            If the request is given up.
+            If the request fails or is not admitted.
         CallerGoneError
-            If the caller hung up.
+            If the caller has disconnected.
         """
         self._parts.crashes.check(request)
         attempts = Attempts(parts=self._parts, request=request)
-        return UnbrokenStream(attempts=attempts, stream=attempts.open())
+        return FailoverStream(attempts=attempts, stream=attempts.open())
 
     def complete(self, request):
-        """Return the whole answer, trying again where output broke off."""
+        """Return the whole answer; retries if the output breaks off."""
         self._parts.crashes.check(request)
         attempts = Attempts(parts=self._parts, request=request)
         stream = attempts.open()
@@ -66,18 +71,18 @@
 
 
 class Attempts:
-    """Attempts of one request; never two at a time.
+    """Attempts of one request, made one after the other.
 
     Parameters
     ----------
     parts : ServingParts
-        Ports and helpers.
+        Shared dependencies.
     request : GenerationRequest
-        What was asked.
+        The request.
     """
 
     def __init__(self, *, parts, request):
-        """Attempt nothing yet."""
+        """Start without an attempt."""
         self._parts = parts
         self._request = request
         self._count = 0
@@ -91,32 +96,33 @@
                 return self._try_once()
             except UpstreamError as exc:
                 failure = exc
-            self._fail(failure)
+            self._wait_for_retry(failure)
 
     def restart(self, failure):
-        """Return another stream after output had begun, or raise.
+        """Return a new stream after one that failed in mid-output, or raise.
 
-        The deadline was for the first output and is met; the new attempt
-        gets as much time again.
+        The deadline applies to the first output and was met, so the new
+        attempt gets the same time allowance again.
         """
         work = self._request.work
         now_s = self._parts.clock.monotonic_s()
         deadline_s = now_s + work.deadline_s - work.arrived_s
         work = replace(work, arrived_s=now_s, deadline_s=deadline_s)
         self._request = replace(self._request, work=work)
-        self._fail(failure)
+        self._wait_for_retry(failure)
         return self.open()
 
-    def _fail(self, failure):
+    def _wait_for_retry(self, failure):
+        """Sleep before the next attempt, or raise if there is none."""
         work = self._request.work
-        self._note(failure.ran)
+        self._record_outcome(failure.ran)
         if self._request.gone():
-            raise CallerGoneError("the caller hung up")
-        decision = self._parts.decisions.may_retry(
+            raise CallerGoneError("the caller disconnected")
+        decision = self._parts.decisions.decide_retry(
             work, ran=failure.ran, attempts=self._count
         ).get()
-        again = self._parts.crashes.may_send_again(self._request)
-        if not (decision.allowed and again):
+        may_retry = self._parts.crashes.may_retry(self._request)
+        if not (decision.allowed and may_retry):
             raise RefusedError(
                 f"the engines failed: {failure}",
                 reason=Reason.UPSTREAM_FAILED,
@@ -126,58 +132,61 @@
         self._parts.metrics.add("generation_retries_total")
         self._parts.clock.sleep(decision.delay_s)
 
-    def _note(self, ran):
-        # A refusal tells of all attempts together: it says "not run" only
-        # when none of them ran.
+    def _record_outcome(self, ran):
+        # A refusal reports on all attempts together: its outcome is "not
+        # run" only if none of them ran.
         if self._ran is Ran.NO or ran is Ran.YES:
             self._ran = ran
 
     def _try_once(self):
-        engine_id = f"{self._request.work.request_id}.{self._count}"
+        engine_request_id = f"{self._request.work.request_id}.{self._count}"
         try:
-            placed = self._parts.reserver.reserve(self._request, engine_id)
+            reserved = self._parts.reserver.reserve(
+                self._request, engine_request_id
+            )
         except RefusedError as exc:
-            raise self._truthful(exc) from exc
-        filling = Filling(
-            parts=self._parts, request=self._request, placed=placed
+            raise self._with_combined_outcome(exc) from exc
+        transfer = PrefillTransfer(
+            parts=self._parts, request=self._request, reserved=reserved
         )
         try:
-            result = filling.run()
+            result = transfer.run()
         except RefusedError as exc:
-            raise self._truthful(exc) from exc
-        self._note(Ran.YES)
+            raise self._with_combined_outcome(exc) from exc
+        self._record_outcome(Ran.YES)
         stream = OutputStream(
             request=self._request,
-            reserved=placed.decode,
+            reservation=reserved.decode,
             prompt_tokens=result.prompt_tokens,
-            granted_tokens=placed.output_tokens,
+            granted_tokens=reserved.output_tokens,
             parts=self._parts,
         )
-        return self._prime(stream, result, placed.started_s)
+        return self._receive_first_output(stream, result, reserved.started_s)
 
-    def _prime(self, stream, result, started_s):
+    def _receive_first_output(self, stream, result, started_s):
         work = self._request.work
         try:
-            stream.prime()
+            stream.receive_first()
             now_s = self._parts.clock.monotonic_s()
             if now_s > work.deadline_s:
                 raise late_answer()
             if self._request.gone():
-                raise CallerGoneError("the caller hung up")
+                raise CallerGoneError("the caller disconnected")
         except BaseException:
             self._parts.metrics.add(
                 "wasted_prefill_tokens_total", result.prompt_tokens
             )
             stream.close()
             raise
-        self._parts.decisions.learn_path(work, now_s - started_s)
+        self._parts.decisions.record_first_output(work, now_s - started_s)
         if self._count == 1:
             self._parts.metrics.observe(
                 "first_output_seconds", now_s - work.arrived_s
             )
         return stream
 
-    def _truthful(self, refusal):
+    def _with_combined_outcome(self, refusal):
+        """Return a refusal whose outcome covers all attempts."""
         if self._ran is Ran.NO or refusal.outcome is not Outcome.NOT_RUN:
             return refusal
         return RefusedError(
@@ -200,5 +209,7 @@
                 output_tokens=stream.output_tokens,
             )
         if request.gone():
-            raise CallerGoneError("the caller hung up")
-    raise UpstreamRefusedError("the output has no end", ran=Ran.YES)
+            raise CallerGoneError("the caller disconnected")
+    raise UpstreamRefusedError(
+        "the output ended without a finish reason", ran=Ran.YES
+    )
--- a/currantdeal/serving/hangups.py
+++ b/currantdeal/serving/hangups.py
@@ -1,9 +1,10 @@
-"""Notices callers that hung up while a thread waits for an engine.
+"""Cancels engine calls whose caller has disconnected.
 
 The thread that serves a request is blocked in a call to an engine and can't
-look.  Without the monitor the engine would compute a prefill to its end, or
-hold memory, for a caller who is gone; one would notice by held memory that
-no stream explains.  Cancelling at the engine ends the blocked call too.
+check its caller's connection.  Without the monitor the engine would finish a
+prefill, or hold memory, for a caller that has disconnected; the symptom would
+be held memory that no stream accounts for.  Cancelling at the engine also
+ends the blocked call.
 """
 
 import contextlib
@@ -13,12 +14,12 @@
 from currantdeal.core import RequestId, Upstream
 from currantdeal.serving.requests import GenerationRequest
 
-INTERVAL_S = 0.2
+CHECK_INTERVAL_S = 0.2
 
 
 @dataclass(frozen=True, kw_only=True)
-class Watched:
-    """A call to an engine that somebody waits for."""
+class WatchedCall:
+    """A call to an engine, and the request that waits for it."""
 
     request: GenerationRequest
     upstream: Upstream
@@ -26,18 +27,18 @@
 
 
 class HangUpMonitor:
-    """Cancels watched calls whose callers are gone.
+    """Cancels watched calls whose callers have disconnected.
 
     Parameters
     ----------
     cleaner : Cleaner
-        Carries the cancels out.
+        Sends the cancel requests.
     interval_s : float
-        Time between looks, in seconds.
+        Time between checks, in seconds.
     """
 
-    def __init__(self, *, cleaner, interval_s=INTERVAL_S):
-        """Watch nothing; ``start`` starts the thread."""
+    def __init__(self, *, cleaner, interval_s=CHECK_INTERVAL_S):
+        """Start without calls; ``start`` starts the thread."""
         self._cleaner = cleaner
         self._interval_s = interval_s
         self._watched = set()
@@ -45,34 +46,34 @@
         self._stopping = threading.Event()
 
     def start(self):
-        """Look at the watched calls from now on."""
+        """Start the thread that checks the watched calls."""
         threading.Thread(
             target=self._run, name="hang-ups", daemon=True
         ).start()
 
     def stop(self):
-        """Look no more."""
+        """Stop the thread."""
         self._stopping.set()
 
     @contextlib.contextmanager
-    def watching(self, watched):
-        """Watch a call while the block runs."""
+    def watching(self, call):
+        """Watch a ``WatchedCall`` while the block runs."""
         with self._lock:
-            self._watched.add(watched)
+            self._watched.add(call)
         try:
             yield
         finally:
             with self._lock:
-                self._watched.discard(watched)
+                self._watched.discard(call)
 
-    def look(self):
-        """Cancel the calls whose callers are gone, once each."""
+    def check_callers(self):
+        """Cancel the calls whose callers have disconnected, once each."""
         with self._lock:
-            gone = [each for each in self._watched if each.request.gone()]
-            self._watched.difference_update(gone)
-        for each in gone:
-            self._cleaner.cancel(each.upstream, each.engine_request_id)
+            abandoned = [call for call in self._watched if call.request.gone()]
+            self._watched.difference_update(abandoned)
+        for call in abandoned:
+            self._cleaner.cancel(call.upstream, call.engine_request_id)
 
     def _run(self):
         while not self._stopping.wait(self._interval_s):
-            self.look()
+            self.check_callers()
--- a/currantdeal/serving/inflight.py
+++ b/currantdeal/serving/inflight.py
@@ -1,4 +1,4 @@
-"""Requests that this instance serves at present."""
+"""Limits the number of requests that an instance serves concurrently."""
 
 import contextlib
 import threading
@@ -7,20 +7,20 @@
 
 
 class InFlight:
-    """Counts requests, bounds them and tells when there are none.
+    """Counts and limits concurrent requests, and waits for their end.
 
-    Each takes a thread until its last output.  Were all threads taken, even
-    a refusal would have to wait for one; so requests beyond the limit are
-    refused while some threads are left to do it.
+    A request occupies a thread until its last output.  If all threads were
+    occupied, even a refusal would have to wait for one.  The limit leaves
+    some threads free to refuse the requests beyond it.
 
     Parameters
     ----------
     limit : int
-        Requests served at a time.
+        Number of requests served concurrently.
     """
 
     def __init__(self, *, limit):
-        """Start with none."""
+        """Start without requests."""
         self._limit = limit
         self._count = 0
         self._changed = threading.Condition()
@@ -32,21 +32,22 @@
 
     @property
     def load(self):
-        """Share of the limit in use."""
+        """Fraction of the limit in use."""
         return self._count / self._limit
 
     def begin(self):
-        """Take a request in and return what ends it, or refuse.
+        """Count a new request, or raise ``RefusedError`` at the limit.
 
         Returns
         -------
         callable
-            Ends the request; further calls do nothing.
+            Ends the request; further calls have no effect.
         """
         with self._changed:
             if self._count >= self._limit:
                 raise not_run(
-                    "the instance serves as many requests as it can",
+                    f"the instance serves its limit of {self._limit} "
+                    "concurrent requests",
                     reason=Reason.OVERLOADED,
                     retry_after_s=1.0,
                 )
@@ -61,7 +62,7 @@
             self._changed.notify_all()
 
     def wait_idle(self, *, timeout_s):
-        """Return whether no request was left within the timeout."""
+        """Return whether all requests ended within the timeout."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._count == 0, timeout=timeout_s
--- a/currantdeal/serving/parts.py
+++ b/currantdeal/serving/parts.py
@@ -1,4 +1,4 @@
-"""What the requests of one instance share."""
+"""Dependencies shared by all requests of one instance."""
 
 import contextlib
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServingParts:
-    """What the requests of one instance share."""
+    """Ports and helpers shared by all requests of one instance."""
 
     engines: EnginePort
     homes: HomesPort
@@ -36,15 +36,16 @@
     crashes: CrashGuard
 
     @contextlib.contextmanager
-    def blaming(self, request, upstream):
-        """Let the next attempts avoid an upstream that gives no answer.
+    def recording_failures(self, request, upstream):
+        """Record a failure of the upstream that the block raises.
 
-        One that crashed also counts against the request.
+        The next attempts then avoid an upstream that was unreachable or
+        timed out.  A crash is also recorded against the request.
         """
         try:
             yield
         except (UpstreamUnreachableError, UpstreamSilentError) as exc:
             if isinstance(exc, UpstreamCrashedError):
-                self.crashes.crashed(request, upstream)
-            self.decisions.learn_failure(request.work, upstream)
+                self.crashes.record_crash(request, upstream)
+            self.decisions.record_failure(request.work, upstream)
             raise
--- a/currantdeal/serving/filling.py
+++ b/currantdeal/serving/prefill_transfer.py
@@ -1,4 +1,4 @@
-"""From reserved engines to a KV cache in decode memory."""
+"""Runs a prefill and imports its KV cache into decode memory."""
 
 from currantdeal.core import (
     KvExpiredError,
@@ -15,41 +15,41 @@
     late_answer,
     not_run,
 )
-from currantdeal.serving.hangups import Watched
+from currantdeal.serving.hangups import WatchedCall
 from currantdeal.serving.reservations import pieces_for
 
-PATIENCE = 4.0
-PATIENCE_S = 1.0
-"""An engine is given four times the predicted time and a second more, as
-loads lag; then its connection is presumed dead."""
+TIMEOUT_FACTOR = 4.0
+TIMEOUT_MARGIN_S = 1.0
+"""The timeout is 4 times the predicted time plus 1 s, since the load reports
+behind a prediction lag.  After that the connection is presumed dead."""
 
 RETRY_AFTER_S = 1.0
 
 
-class Filling:
-    """Fills the decode memory reserved for one attempt.
+class PrefillTransfer:
+    """Prefill and KV transfer of one attempt, on its reserved engines.
 
     Parameters
     ----------
     parts : ServingParts
-        Ports and helpers.
+        Shared dependencies.
     request : GenerationRequest
-        What was asked.
-    placed : Placed
-        The engines that are reserved.
+        The request.
+    reserved : ReservedEngines
+        The reserved engines.
     """
 
-    def __init__(self, *, parts, request, placed):
-        """Send nothing yet."""
+    def __init__(self, *, parts, request, reserved):
+        """Start without a call to an engine."""
         self._parts = parts
         self._request = request
-        self._placed = placed
-        self._prefill = placed.prefill
+        self._reserved = reserved
+        self._prefill = reserved.prefill
         self._importing = False
         self._prefilled = False
 
     def run(self):
-        """Return the prefill's result once it is in decode memory."""
+        """Return the prefill's result after its import to decode memory."""
         attempts = 1
         try:
             while True:
@@ -59,21 +59,23 @@
                     self._prefill_again(exc, attempts)
                     attempts += 1
         except BaseException:
-            self._drop_decode()
+            self._free_decode()
             raise
 
     def _prefill_again(self, failure, attempts):
         work = self._request.work
-        decision = self._parts.decisions.may_retry(
+        decision = self._parts.decisions.decide_retry(
             work, ran=failure.ran, attempts=attempts
         ).get()
         if not decision.allowed:
             raise UpstreamRefusedError(str(failure), ran=Ran.YES) from failure
         self._parts.metrics.add("prefill_retries_total")
-        name = f"{self._placed.decode.request_id}p{attempts + 1}"
+        engine_request_id = (
+            f"{self._reserved.decode.request_id}p{attempts + 1}"
+        )
         try:
             self._prefill = self._parts.reserver.reserve_prefill(
-                work, self._placed.choice, name
+                work, self._reserved.choice, engine_request_id
             )
         except ReservationError as exc:
             raise UpstreamRefusedError(str(exc), ran=Ran.YES) from exc
@@ -101,11 +103,13 @@
         prefill = self._prefill
         work = self._request.work
         self._sleep_until_start()
-        predicted_s = self._placed.choice.prefill_s
+        predicted_s = self._reserved.choice.prefill_s
         timeout_s = self._check_sendable(Role.PREFILL, prefill, predicted_s)
         started_s = self._parts.clock.monotonic_s()
-        blaming = self._parts.blaming(self._request, prefill.upstream)
-        with self._watching(prefill), blaming:
+        recording = self._parts.recording_failures(
+            self._request, prefill.upstream
+        )
+        with self._watching(prefill), recording:
             result = self._parts.engines.prefill(
                 prefill.upstream,
                 PrefillRequest(
@@ -119,7 +123,7 @@
             )
         taken_s = self._parts.clock.monotonic_s() - started_s
         self._parts.metrics.add("prefill_tokens_total", result.prompt_tokens)
-        self._parts.decisions.learn_prefill(
+        self._parts.decisions.record_prefill(
             prefill.upstream,
             work,
             cached_tokens=result.cached_tokens,
@@ -128,11 +132,11 @@
         return result
 
     def _run_import(self, result):
-        decode = self._placed.decode
-        tokens = result.prompt_tokens + self._placed.output_tokens
-        predicted_s = self._placed.choice.transfer_s
+        decode = self._reserved.decode
+        tokens = result.prompt_tokens + self._reserved.output_tokens
+        predicted_s = self._reserved.choice.transfer_s
         timeout_s = self._check_sendable(Role.DECODE, decode, predicted_s)
-        wanted = ImportRequest(
+        request = ImportRequest(
             request_id=decode.request_id,
             kv_id=result.kv_id,
             source_address=self._prefill.upstream.address,
@@ -140,29 +144,31 @@
             fence=decode.grant.fence,
         )
         self._importing = True
-        blaming = self._parts.blaming(self._request, decode.upstream)
-        with self._watching(decode), blaming:
+        recording = self._parts.recording_failures(
+            self._request, decode.upstream
+        )
+        with self._watching(decode), recording:
             self._parts.engines.import_kv(
-                decode.upstream, wanted, timeout_s=timeout_s
+                decode.upstream, request, timeout_s=timeout_s
             )
 
     def _sleep_until_start(self):
-        # The prefill should end when the decode memory is free: earlier and
-        # its result expires, later and the memory stands idle.
-        placed = self._placed
-        decode_in_s = placed.decode.grant.start_in_s
+        # The prefill should end when the decode memory becomes free: if it
+        # ends earlier its result expires, if later the memory is idle.
+        reserved = self._reserved
+        decode_in_s = reserved.decode.grant.start_in_s
         wait_s = max(
             self._prefill.grant.start_in_s,
-            decode_in_s - placed.choice.prefill_s,
+            decode_in_s - reserved.choice.prefill_s,
         )
         if wait_s > 0:
             self._parts.clock.sleep(wait_s)
 
-    def _check_sendable(self, role, reserved, predicted_s):
-        """Return the timeout, or raise if nothing may be sent any more."""
+    def _check_sendable(self, role, reservation, predicted_s):
+        """Return the timeout of a call, or raise if it may not be sent."""
         work = self._request.work
         if self._request.gone():
-            raise CallerGoneError("the caller hung up")
+            raise CallerGoneError("the caller disconnected")
         left_s = work.deadline_s - self._parts.clock.monotonic_s()
         if left_s <= 0:
             raise late_answer() if self._prefilled else _too_late_to_start()
@@ -172,22 +178,24 @@
             if self._prefilled:
                 raise UpstreamRefusedError(str(exc), ran=Ran.YES) from exc
             raise
-        if not self._parts.view.may_serve(work, role, reserved.upstream):
+        if not self._parts.view.may_serve(work, role, reservation.upstream):
             ran = Ran.YES if self._prefilled else Ran.NO
-            raise UpstreamRefusedError("withdrawn meanwhile", ran=ran)
-        return min(left_s, PATIENCE * predicted_s + PATIENCE_S)
+            raise UpstreamRefusedError(
+                f"{reservation.upstream.upstream_id} was withdrawn", ran=ran
+            )
+        return min(left_s, TIMEOUT_FACTOR * predicted_s + TIMEOUT_MARGIN_S)
 
-    def _watching(self, reserved):
+    def _watching(self, reservation):
         return self._parts.hangups.watching(
-            Watched(
+            WatchedCall(
                 request=self._request,
-                upstream=reserved.upstream,
-                engine_request_id=reserved.request_id,
+                upstream=reservation.upstream,
+                engine_request_id=reservation.request_id,
             )
         )
 
-    def _drop_decode(self):
-        decode = self._placed.decode
+    def _free_decode(self):
+        decode = self._reserved.decode
         if self._importing:
             self._parts.cleaner.cancel(
                 decode.upstream, decode.request_id, decode.grant
--- a/currantdeal/serving/prompts.py
+++ b/currantdeal/serving/prompts.py
@@ -1,7 +1,7 @@
-"""Estimates about prompts, made before any engine has seen them."""
+"""Estimates the length of prompts before an engine has tokenized them."""
 
 BYTES_PER_TOKEN = 4
-"""Usual length of a token in bytes; the engine's count replaces it later."""
+"""Typical token length in bytes; the engine's count replaces the estimate."""
 
 
 def estimate_tokens(prompt):
--- a/currantdeal/serving/requests.py
+++ b/currantdeal/serving/requests.py
@@ -1,4 +1,4 @@
-"""What the serving layer is asked, and what it gives back."""
+"""Requests to the serving layer, and their results."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 def never_gone():
-    """Return False, for requests whose caller cannot hang up."""
+    """Return False; for requests whose caller can't disconnect."""
     return False
 
 
@@ -20,11 +20,11 @@
     Parameters
     ----------
     work : Work
-        What decisions see of the request.
+        Description of the request for scheduling decisions.
     prompt : str
-        The whole prompt.
+        The complete prompt.
     gone : callable
-        Returns True once the caller has hung up.
+        Returns True once the caller has disconnected.
     """
 
     work: Work
@@ -33,14 +33,14 @@
 
     @cached_property
     def fingerprint(self):
-        """By what it counts as the same request when it is sent again."""
+        """Digest that identifies resends of the same request."""
         parts = (self.work.caller, self.work.target, self.prompt)
         return digest_parts(*(str(part).encode() for part in parts))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Completion:
-    """A whole answer of a model."""
+    """A complete answer of a model."""
 
     text: str
     finish_reason: str
@@ -55,13 +55,14 @@
     Parameters
     ----------
     work : Work
-        What decisions see of the request; ``target`` names the service.
+        Description of the request for scheduling decisions; ``target`` names
+        the service.
     call : ServiceCall
-        What to send.
+        The HTTP call to send.
     key : str
-        The caller's idempotency key; empty when there is none.
+        The caller's idempotency key; empty if there is none.
     gone : callable
-        Returns True once the caller has hung up.
+        Returns True once the caller has disconnected.
     """
 
     work: Work
@@ -71,7 +72,7 @@
 
     @cached_property
     def fingerprint(self):
-        """By what it counts as the same request when it is sent again."""
+        """Digest that identifies resends of the same request."""
         call = self.call
         names = (self.work.caller, self.work.target, call.method, call.path)
         parts = (str(name).encode() for name in names)
@@ -84,8 +85,10 @@
 
     Parameters
     ----------
+    answer : ServiceAnswer
+        The answer.
     replayed : bool
-        True when the answer was kept from an earlier call with the key.
+        True if the answer was stored by an earlier call with the key.
     """
 
     answer: ServiceAnswer
--- a/currantdeal/serving/reservations.py
+++ b/currantdeal/serving/reservations.py
@@ -1,9 +1,9 @@
-"""Reserving decode memory first, then the prefill that will fill it.
+"""Reserves decode memory, then a prefill engine, for each request.
 
-A prefill result survives well under a second.  Were it computed before the
-decode engine had memory for it, full decode pools would turn prefills into
-waste exactly at peak; one would notice by prefilled tokens that outnumber
-the prompts answered.
+A prefill result expires in well under a second.  If it were computed before
+the decode engine had memory for it, prefills would be wasted whenever the
+decode pools are full, which is at peak load.  The symptom would be more
+prefilled tokens than the answered prompts account for.
 """
 
 from dataclasses import dataclass
@@ -22,14 +22,14 @@
 from currantdeal.serving.errors import CallerGoneError, Reason, not_run
 
 RESERVE_TIMEOUT_S = 0.5
-"""Longest wait for a home's answer, some dozen round trips."""
+"""Timeout of a request to a home; some dozen round trips."""
 
-WAIT_SLICE_S = 0.1
-"""Interval at which a waiting request looks whether its caller is gone."""
+CALLER_CHECK_INTERVAL_S = 0.1
+"""Interval at which a waiting request checks that its caller is connected."""
 
 
 class HomeFullError(ReservationError):
-    """A home refused a part of a plan.
+    """A home refused a reservation of a plan.
 
     Parameters
     ----------
@@ -38,14 +38,14 @@
     """
 
     def __init__(self, message, *, upstream_id: UpstreamId, retry_after_s):
-        """Keep the upstream beside what any refused reservation tells."""
+        """Store the upstream with the error."""
         super().__init__(message, retry_after_s=retry_after_s)
         self.upstream_id = upstream_id
 
 
 @dataclass(frozen=True, kw_only=True)
-class Reserved:
-    """A grant, the upstream it is for and the name used there."""
+class Reservation:
+    """A grant for an upstream, and the request id used there."""
 
     upstream: Upstream
     grant: Grant
@@ -53,13 +53,15 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Placed:
-    """The engines that are reserved for a request.
+class ReservedEngines:
+    """The prefill and the decode engine reserved for a request.
 
     Parameters
     ----------
     output_tokens : int
-        Output tokens that the decode memory is meant for.
+        Output tokens for which decode memory is reserved.
+    choice : Choice
+        The engines chosen by the policy, with predicted times.
     started_s : float
         Monotonic time at which everything was reserved.
     """
@@ -67,31 +69,31 @@
     output_tokens: int
     choice: Choice
     started_s: float
-    decode: Reserved
-    prefill: Reserved
+    decode: Reservation
+    prefill: Reservation
 
 
 class Reserver:
-    """Waits for a request's turn and reserves its engines.
+    """Waits until a request is scheduled and reserves its engines.
 
     Parameters
     ----------
     instance : InstanceId
-        This instance, to which grants are given.
+        This instance, the holder of the grants.
     view : ServingView
         Which upstreams are allowed.
     homes : HomesPort
         Where reservations are made.
     decisions : pykka.ActorProxy
-        Of ``Decisions``.
+        Proxy of ``Decisions``.
     cleaner : Cleaner
-        Takes back what is not used.
+        Releases unused grants.
     clock : Clock
-        Paces tries while everything is full.
+        Delays retries while all engines are full.
     """
 
     def __init__(self, *, instance, view, homes, decisions, cleaner, clock):
-        """Keep the parts."""
+        """Store the dependencies."""
         self._instance = instance
         self._view = view
         self._homes = homes
@@ -99,78 +101,80 @@
         self._cleaner = cleaner
         self._clock = clock
 
-    def reserve(self, request, engine_id):
-        """Return the reserved engines, or raise a refusal."""
+    def reserve(self, request, engine_request_id):
+        """Return the ``ReservedEngines``, or raise ``RefusedError``."""
         work = request.work
-        ticket = self._enter(work)
+        ticket = self._submit(work)
         try:
             while True:
                 plan = self._await_plan(request, ticket)
                 try:
-                    placed = self._reserve_plan(plan, engine_id)
+                    reserved = self._reserve_plan(plan, engine_request_id)
                 except HomeFullError as exc:
-                    ticket = self._decisions.blocked(
+                    ticket = self._decisions.record_refusal(
                         plan, exc.upstream_id, exc.retry_after_s
                     ).get()
                 else:
-                    self._decisions.reserved(plan)
-                    return placed
+                    self._decisions.record_reserved(plan)
+                    return reserved
         except BaseException:
-            self._decisions.leave(work)
+            self._decisions.cancel(work)
             raise
 
-    def reserve_prefill(self, work, choice, engine_id):
-        """Return a reserved turn on the chosen prefill engine."""
+    def reserve_prefill(self, work, choice, engine_request_id):
+        """Return a new ``Reservation`` at the chosen prefill engine."""
         upstream = choice.prefill
         to_compute = work.prompt_tokens - int(choice.cached_tokens)
         ask = Ask(
-            request_id=engine_id,
+            request_id=engine_request_id,
             caller=work.caller,
             entry=self._instance,
             prefill_tokens=max(1, to_compute),
             kv_bytes=work.prompt_tokens * upstream.kv_bytes_per_token,
         )
-        return self._ask(upstream, ask, engine_id)
+        return self._reserve_upstream(upstream, ask, engine_request_id)
 
-    def _enter(self, work):
+    def _submit(self, work):
         self._view.check_lease()
         self._view.candidates(work, Role.PREFILL)
         self._view.candidates(work, Role.DECODE)
-        entered = self._decisions.enter(work).get()
-        if isinstance(entered, Refused):
-            raise _refusal(entered)
-        return entered
+        ticket = self._decisions.submit(work).get()
+        if isinstance(ticket, Refused):
+            raise _refusal(ticket)
+        return ticket
 
     def _await_plan(self, request, ticket):
         while True:
             if self._time_left_s(request) <= 0:
-                raise _no_memory_in_time(1.0)
+                raise _no_memory_before_deadline(1.0)
             if request.gone():
-                raise CallerGoneError("the caller hung up")
+                raise CallerGoneError("the caller disconnected")
             try:
-                message = ticket.turn.get(timeout=WAIT_SLICE_S)
+                decision = ticket.decision.get(timeout=CALLER_CHECK_INTERVAL_S)
             except pykka.Timeout:
                 continue
-            if isinstance(message, Plan):
-                return message
-            if isinstance(message, GiveUp):
-                raise _refusal(message.refused)
-            self._clock.sleep(message.delay_s)
-            ticket = message.ticket
+            if isinstance(decision, Plan):
+                return decision
+            if isinstance(decision, GiveUp):
+                raise _refusal(decision.refused)
+            self._clock.sleep(decision.delay_s)
+            ticket = decision.ticket
             self._decisions.poll(request.work)
 
-    def _reserve_plan(self, plan, engine_id):
+    def _reserve_plan(self, plan, engine_request_id):
         self._view.check_lease()
         choice = plan.choice
-        decode = self._ask(choice.decode, plan.decode_ask, engine_id)
+        decode = self._reserve_upstream(
+            choice.decode, plan.decode_ask, engine_request_id
+        )
         try:
-            prefill = self._ask(
-                choice.prefill, plan.prefill_ask, f"{engine_id}p1"
+            prefill = self._reserve_upstream(
+                choice.prefill, plan.prefill_ask, f"{engine_request_id}p1"
             )
         except BaseException:
             self._cleaner.release(decode.grant)
             raise
-        return Placed(
+        return ReservedEngines(
             output_tokens=plan.output_tokens,
             choice=choice,
             decode=decode,
@@ -178,9 +182,9 @@
             started_s=self._clock.monotonic_s(),
         )
 
-    def _ask(self, upstream, ask, engine_id):
-        wanted = ReservationRequest(
-            request_id=engine_id,
+    def _reserve_upstream(self, upstream, ask, engine_request_id):
+        request = ReservationRequest(
+            request_id=engine_request_id,
             caller=ask.caller,
             entry=ask.entry,
             upstream_id=upstream.upstream_id,
@@ -191,21 +195,23 @@
             lead_s=ask.lead_s,
         )
         try:
-            grant = self._homes.reserve(wanted, timeout_s=RESERVE_TIMEOUT_S)
+            grant = self._homes.reserve(request, timeout_s=RESERVE_TIMEOUT_S)
         except ReservationError as exc:
             raise HomeFullError(
                 str(exc),
                 upstream_id=upstream.upstream_id,
                 retry_after_s=exc.retry_after_s,
             ) from exc
-        return Reserved(upstream=upstream, grant=grant, request_id=engine_id)
+        return Reservation(
+            upstream=upstream, grant=grant, request_id=engine_request_id
+        )
 
     def _time_left_s(self, request):
         return request.work.deadline_s - self._clock.monotonic_s()
 
 
 def pieces_for(upstream, tokens):
-    """Return the pieces of an engine's memory that some tokens fill."""
+    """Return how many pieces of an engine's memory some tokens need."""
     return -(-tokens // upstream.tokens_per_piece)
 
 
@@ -217,7 +223,7 @@
     )
 
 
-def _no_memory_in_time(retry_after_s):
+def _no_memory_before_deadline(retry_after_s):
     return not_run(
         "no engine has memory for the request before its deadline",
         reason=Reason.OVERLOADED,
--- a/currantdeal/serving/streams.py
+++ b/currantdeal/serving/streams.py
@@ -1,4 +1,8 @@
-"""The output of one request, whole and in order, over dying connections."""
+"""Reads the output of one request, complete and in order.
+
+A stream whose connection breaks is resumed at the next offset, as long as
+the engine keeps the request.
+"""
 
 from currantdeal.core import (
     Ran,
@@ -10,52 +14,52 @@
 from currantdeal.ports import DecodeRequest
 
 MAX_RESUMES = 4
-"""Resumes in a row that bring no output before the engine counts as gone."""
+"""Consecutive resumes without output before the engine counts as failed."""
 
-SHORTEST_SILENCE_S = 0.05
-"""Least wait for a first output whose deadline is all but reached."""
+MIN_SILENCE_S = 0.05
+"""Shortest timeout for a first output, also if its deadline is sooner."""
 
 
 class OutputStream:
-    """Output tokens of one request; resumed where a connection broke.
+    """Output tokens of one request; resumes after a broken connection.
 
-    Iterate over it for the chunks; ``close`` frees the engine's memory and
-    must be called in every case.
+    Iterate over it for the chunks.  ``close`` frees the engine's memory and
+    must always be called.
 
     Parameters
     ----------
     request : GenerationRequest
-        What was asked.
-    reserved : Reserved
-        The decode engine that holds the KV cache.
+        The request.
+    reservation : Reservation
+        Of the decode engine that holds the KV cache.
     prompt_tokens : int
-        Measured length of the prompt.
+        Length of the prompt, as counted by the engine.
     granted_tokens : int
-        Output tokens that memory is reserved for.
+        Output tokens for which memory is reserved.
     parts : ServingParts
-        What streams of one instance share.
+        Shared dependencies.
     """
 
     def __init__(
-        self, *, request, reserved, prompt_tokens, granted_tokens, parts
+        self, *, request, reservation, prompt_tokens, granted_tokens, parts
     ):
-        """Send nothing yet."""
+        """Start without a connection to the engine."""
         self._request = request
-        self._reserved = reserved
+        self._reservation = reservation
         self._prompt_tokens = prompt_tokens
         self._parts = parts
         self._next_offset = 0
-        self._first = None
+        self._first_chunk = None
         self._finished = False
         self._closed = False
         self._granted_tokens = granted_tokens
-        self._first_s = 0.0
-        self._last_s = 0.0
+        self._first_output_s = 0.0
+        self._last_output_s = 0.0
         self._chunks = self._read()
 
     @property
     def prompt_tokens(self):
-        """Measured length of the prompt, in tokens."""
+        """Length of the prompt in tokens, as counted by the engine."""
         return self._prompt_tokens
 
     @property
@@ -63,40 +67,43 @@
         """Number of output tokens received so far."""
         return self._next_offset
 
-    def prime(self):
-        """Wait for the first output, so that a failure can be answered."""
-        self._first = next(self._chunks)
-        self._first_s = self._parts.clock.monotonic_s()
+    def receive_first(self):
+        """Wait for the first output.
+
+        Until then the caller can still be sent an error status.
+        """
+        self._first_chunk = next(self._chunks)
+        self._first_output_s = self._parts.clock.monotonic_s()
 
     def __iter__(self):
-        """Yield the chunks, the first one again included."""
-        if self._first is not None:
-            yield self._first
-            self._first = None
+        """Yield all chunks, including the first one already received."""
+        if self._first_chunk is not None:
+            yield self._first_chunk
+            self._first_chunk = None
         yield from self._chunks
 
     def close(self):
-        """Cancel at the engine and give the grant back; once."""
+        """Cancel at the engine and release the grant; idempotent."""
         if self._closed:
             return
         self._closed = True
         self._chunks.close()
         self._parts.cleaner.cancel(
-            self._reserved.upstream,
-            self._reserved.request_id,
-            self._reserved.grant,
+            self._reservation.upstream,
+            self._reservation.request_id,
+            self._reservation.grant,
         )
-        self._measure()
+        self._record_metrics()
 
-    def _measure(self):
+    def _record_metrics(self):
         parts = self._parts
-        upstream = self._reserved.upstream
+        upstream = self._reservation.upstream
         parts.metrics.add("output_tokens_total", self._next_offset)
         if not self._finished:
             return
-        parts.crashes.completed(self._request)
+        parts.crashes.record_completion(self._request)
         gap_s = self._mean_gap_s()
-        parts.decisions.learn_output(
+        parts.decisions.record_output(
             self._request.work,
             upstream,
             tokens=self._next_offset,
@@ -109,7 +116,9 @@
     def _mean_gap_s(self):
         if self._next_offset < 2:
             return 0.0
-        return (self._last_s - self._first_s) / (self._next_offset - 1)
+        return (self._last_output_s - self._first_output_s) / (
+            self._next_offset - 1
+        )
 
     def _read(self):
         resumes = 0
@@ -121,75 +130,75 @@
             except UpstreamRefusedError:
                 raise
             except UpstreamCrashedError:
-                # Nothing is left to resume there, and the process that comes
-                # back may end the same way.
-                self._blame_crash()
+                # The crash lost the request's state, so that it can't be
+                # resumed there, and the restarted process may crash again.
+                self._record_crash()
                 raise
             except UpstreamError:
                 if self._next_offset > before:
                     resumes = 0
                 resumes += 1
                 if not self._may_resume(resumes):
-                    self._blame_upstream()
+                    self._record_failure()
                     raise
                 self._parts.metrics.add("stream_resumes_total")
 
-    def _blame_crash(self):
-        self._parts.crashes.crashed(
+    def _record_crash(self):
+        self._parts.crashes.record_crash(
             self._request,
-            self._reserved.upstream,
+            self._reservation.upstream,
             early=not self._next_offset,
         )
-        self._blame_upstream()
+        self._record_failure()
 
-    def _blame_upstream(self):
-        self._parts.decisions.learn_failure(
-            self._request.work, self._reserved.upstream
+    def _record_failure(self):
+        self._parts.decisions.record_failure(
+            self._request.work, self._reservation.upstream
         )
 
     def _read_once(self):
-        # Offsets guard against outputs that come twice or are missing after
-        # a resume; a caller would see doubled words or a hole.
-        wanted = self._next_offset
+        # After a resume, outputs may be repeated or missing; the caller would
+        # see doubled or missing words.  The offsets detect both.
+        expected = self._next_offset
         for chunk in self._open():
             if chunk.finish_reason:
-                if chunk.offset != wanted:
-                    raise _gap(chunk, wanted)
+                if chunk.offset != expected:
+                    raise _offset_error(chunk, expected)
                 self._finished = True
-                self._last_s = self._parts.clock.monotonic_s()
+                self._last_output_s = self._parts.clock.monotonic_s()
                 yield chunk
                 return
-            if chunk.offset < wanted:
+            if chunk.offset < expected:
                 continue
-            if chunk.offset > wanted:
-                raise _gap(chunk, wanted)
-            wanted += 1
-            self._next_offset = wanted
-            if wanted > self._granted_tokens:
-                self._grow()
+            if chunk.offset > expected:
+                raise _offset_error(chunk, expected)
+            expected += 1
+            self._next_offset = expected
+            if expected > self._granted_tokens:
+                self._grow_grant()
             yield chunk
 
     def _open(self):
         work = self._request.work
-        reserved = self._reserved
-        wanted = DecodeRequest(
-            request_id=reserved.request_id,
+        reservation = self._reservation
+        request = DecodeRequest(
+            request_id=reservation.request_id,
             model=work.target,
             offset=self._next_offset,
             max_tokens=work.max_output_tokens,
             priority=work.priority,
-            fence=reserved.grant.fence,
+            fence=reservation.grant.fence,
         )
         return self._parts.engines.decode(
-            reserved.upstream, wanted, silence_s=self._silence_s()
+            reservation.upstream, request, silence_s=self._silence_s()
         )
 
     def _silence_s(self):
-        upstream_id = self._reserved.upstream.upstream_id
+        upstream_id = self._reservation.upstream.upstream_id
         limit_s = self._parts.silence.limit_s(upstream_id)
         if self._next_offset:
             return limit_s
-        return max(SHORTEST_SILENCE_S, min(limit_s, self._time_left_s()))
+        return max(MIN_SILENCE_S, min(limit_s, self._time_left_s()))
 
     def _may_resume(self, resumes):
         if resumes > MAX_RESUMES or self._request.gone():
@@ -200,14 +209,14 @@
         now_s = self._parts.clock.monotonic_s()
         return self._request.work.deadline_s - now_s
 
-    def _grow(self):
-        upstream = self._reserved.upstream
+    def _grow_grant(self):
+        upstream = self._reservation.upstream
         self._granted_tokens += upstream.tokens_per_piece
-        if not self._parts.homes.grow(self._reserved.grant, pieces=1):
+        if not self._parts.homes.grow(self._reservation.grant, pieces=1):
             self._parts.metrics.add("grants_not_grown_total")
 
 
-def _gap(chunk, wanted):
+def _offset_error(chunk, expected):
     return UpstreamSilentError(
-        f"output {chunk.offset} came where {wanted} was due", ran=Ran.YES
+        f"output {chunk.offset} received where {expected} was due", ran=Ran.YES
     )
--- a/currantdeal/serving/tests/builders.py
+++ b/currantdeal/serving/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builds the serving layer over fakes."""
+"""Builds a serving layer with fake upstreams and local state for tests."""
 
 from dataclasses import dataclass
 from itertools import count
@@ -35,12 +35,12 @@
 )
 from currantdeal.testing.local_ports import LocalHomes, LocalState
 
-_numbers = count(1)
+_sequence_numbers = count(1)
 
 
 @dataclass(frozen=True, kw_only=True)
 class World:
-    """A serving layer and what it stands on."""
+    """A serving layer and the fakes that it uses."""
 
     serving: Serving
     engines: FakeEngines
@@ -57,17 +57,17 @@
                 return float(line.split()[1])
         return 0.0
 
-    def settle(self):
-        """Wait until everything to be freed is freed."""
+    def wait_for_cleanup(self):
+        """Wait until the cleaner has run all its jobs."""
         assert self.serving.cleaner.wait_idle(timeout_s=30)
 
-    def reserved(self):
-        """Return how many grants are held."""
+    def grants_held(self):
+        """Return the number of grants held."""
         return sum(len(names) for names in self.homes.reserved.values())
 
 
 def build_world(*, state=None, upstreams=None, services=None):
-    """Return a world with two engines of each role and two shops."""
+    """Return a world, by default with the ``default_upstreams``."""
     clock = ManualClock()
     if state is None:
         state = LocalState()
@@ -99,7 +99,7 @@
 
 
 def settings():
-    """Return settings of a lone instance."""
+    """Return settings of a single instance."""
     return Settings(
         instance="i1",
         region="r1",
@@ -148,17 +148,17 @@
 
 
 def propose(state, command, **fields):
-    """Propose a change as an operator would."""
+    """Propose a command as an operator."""
     if command in (ApplySelector, SetLabels):
         fields = {"expected_version": 0, **fields}
     origin = Origin(
-        request_id=f"op{next(_numbers)}", actor="ana", instance="i1"
+        request_id=f"op{next(_sequence_numbers)}", actor="ana", instance="i1"
     )
     return state.propose(command(origin=origin, **fields), timeout_s=1.0)
 
 
 def withdraw(state, *names):
-    """Withdraw upstreams by label."""
+    """Withdraw upstreams by setting a label."""
     for name in names:
         propose(
             state,
@@ -169,11 +169,11 @@
 
 
 def generation(world, *, gone=never_gone, deadline_in_s=5.0, tokens=3):
-    """Return a request for a short output."""
+    """Return a request to the model for a short output."""
     now_s = world.clock.monotonic_s()
     return GenerationRequest(
         work=Work(
-            request_id=f"r{next(_numbers)}",
+            request_id=f"r{next(_sequence_numbers)}",
             caller="nube",
             kind=WorkKind.CHAT,
             target="m",
@@ -193,7 +193,7 @@
     now_s = world.clock.monotonic_s()
     return CallRequest(
         work=Work(
-            request_id=f"r{next(_numbers)}",
+            request_id=f"r{next(_sequence_numbers)}",
             caller="nube",
             kind=WorkKind.SERVICE,
             target="shop",
--- a/currantdeal/serving/tests/test_calls.py
+++ b/currantdeal/serving/tests/test_calls.py
@@ -11,7 +11,7 @@
     UpstreamUnreachableError,
 )
 from currantdeal.serving.calls import digest_of
-from currantdeal.serving.claims import LONGEST_WAIT_S
+from currantdeal.serving.claims import MAX_WAIT_S
 from currantdeal.serving.errors import Reason, RefusedError
 from currantdeal.serving.tests.builders import (
     build_world,
@@ -21,8 +21,8 @@
 )
 from currantdeal.state import ClaimCall, ClaimKey, ClaimStatus, FinishClaim
 
-LOST = UpstreamSilentError("lost", ran=Ran.MAYBE)
-REFUSED = UpstreamUnreachableError("refused", ran=Ran.NO)
+TIMED_OUT = UpstreamSilentError("lost", ran=Ran.MAYBE)
+CONNECTION_REFUSED = UpstreamUnreachableError("refused", ran=Ran.NO)
 
 
 def _call(world, request):
@@ -36,24 +36,24 @@
 
 
 def test_read_is_tried_again():
-    """The connection to a shop breaks while a menu is read.
+    """The connection to a shop breaks during a GET of its menu.
 
-    The customer would see an error that a second try avoids.
+    Without a retry the caller gets an error that a second attempt avoids.
     """
     world = build_world()
-    world.services.script = [LOST]
+    world.services.script = [TIMED_OUT]
     assert _call(world, order(world, method="GET")).answer.status == 201
     assert len({each.upstream_id for each in world.services.sent}) == 2
 
 
 @pytest.mark.parametrize(
     "failure, outcome",
-    [(LOST, Outcome.UNKNOWN), (REFUSED, Outcome.NOT_RUN)],
+    [(TIMED_OUT, Outcome.UNKNOWN), (CONNECTION_REFUSED, Outcome.NOT_RUN)],
 )
 def test_order_without_a_key_gets_one_try(failure, outcome):
     """The connection to a shop fails while an order without a key is sent.
 
-    A second try could place the order twice.
+    A second attempt could place the order twice.
     """
     world = build_world()
     world.services.script = [failure]
@@ -62,9 +62,9 @@
 
 
 def test_resend_elsewhere_gets_the_first_answer():
-    """A caller loses the answer to an order and sends it to an instance.
+    """A caller loses the answer to an order and resends it elsewhere.
 
-    The order would run twice: two cakes for one party.
+    Without a replicated claim the second instance would run the order again.
     """
     first = build_world()
     other = build_world(state=first.state, services=first.services)
@@ -84,12 +84,12 @@
 
 
 def test_claimed_order_goes_elsewhere_only_if_it_did_not_run():
-    """One shop refuses the connection, then the next one goes silent.
+    """One shop refuses the connection, and the next one times out.
 
-    After the silence the order may have run, so nobody may send it again.
+    After the timeout the order may have run, so it must not be sent again.
     """
     world = build_world(upstreams=[shop(f"s{n}") for n in (1, 2, 3)])
-    world.services.script = [REFUSED, LOST]
+    world.services.script = [CONNECTION_REFUSED, TIMED_OUT]
     refusal = _refusal(world, order(world, key="k"))
     assert refusal.outcome is Outcome.UNKNOWN
     assert len(world.services.sent) == 2
@@ -99,29 +99,29 @@
 
 
 def test_order_that_did_not_run_may_be_sent_again():
-    """No shop can be reached.
+    """No shop is reachable.
 
-    The refusal says "not run", so the same key has to work later.
+    The outcome is "not run", so the same key must work later.
     """
     world = build_world()
-    world.services.script = [REFUSED, REFUSED]
+    world.services.script = [CONNECTION_REFUSED, CONNECTION_REFUSED]
     assert _refusal(world, order(world, key="k")).outcome is Outcome.NOT_RUN
     assert _call(world, order(world, key="k")).answer.status == 201
 
 
 def test_resend_waits_for_the_running_call():
-    """A caller sends an order again while the first one still runs.
+    """A caller resends an order while the first one is still running.
 
-    The resend gets the same answer; it neither runs nor fails.
+    The resend must get the same answer, and the order must run once.
     """
     world = build_world()
-    running, go_on = threading.Event(), threading.Event()
+    running, resume = threading.Event(), threading.Event()
 
-    def hold():
+    def wait_in_service():
         running.set()
-        go_on.wait(30)
+        resume.wait(30)
 
-    world.services.script = [hold]
+    world.services.script = [wait_in_service]
     answers = []
     first = threading.Thread(
         target=lambda: answers.append(_call(world, order(world, key="k")))
@@ -130,16 +130,16 @@
     assert running.wait(30)
     late = order(world, key="k", deadline_in_s=0.2)
     assert _refusal(world, late).reason is Reason.STILL_RUNNING
-    go_on.set()
+    resume.set()
     first.join(30)
     assert _call(world, order(world, key="k")).answer == answers[0].answer
     assert len(world.services.sent) == 1
 
 
 def test_resend_of_a_lost_owner_ends_unknown_in_bounded_time():
-    """The instance that sent an order dies before it has the answer.
+    """The instance that sent an order crashes before it has the answer.
 
-    The resend neither waits for ever nor runs the order again.
+    The resend must neither wait forever nor run the order again.
     """
     world = build_world()
     request = order(world, key="k")
@@ -152,33 +152,33 @@
     started_s = world.clock.monotonic_s()
     refusal = _refusal(world, request)
     assert refusal.outcome is Outcome.UNKNOWN
-    assert world.clock.monotonic_s() - started_s <= LONGEST_WAIT_S
+    assert world.clock.monotonic_s() - started_s <= MAX_WAIT_S
     assert world.services.sent == []
 
 
 def test_late_answer_of_an_order_is_kept_for_a_resend():
     """A shop answers an order after the caller's deadline.
 
-    The late answer must not come as if it were in time, and must not be
-    lost: the caller would not know whether there will be a cake.
+    The late answer must not be returned as if it were in time.  It must not
+    be lost either, since a resend is the caller's way to get the outcome.
     """
     world = build_world()
-    go_on = threading.Event()
-    world.services.script = [lambda: go_on.wait(30)]
+    resume = threading.Event()
+    world.services.script = [lambda: resume.wait(30)]
     late = order(world, key="k", deadline_in_s=0.1)
     refusal = _refusal(world, late)
     assert refusal.reason is Reason.DEADLINE
     assert refusal.outcome is Outcome.UNKNOWN
-    go_on.set()
+    resume.set()
     assert world.serving.calls.wait_idle(timeout_s=30)
     assert _call(world, order(world, key="k")).answer.body == b"run 1"
     assert len(world.services.sent) == 1
 
 
 def test_without_quorum_nothing_is_sent():
-    """No quorum answers while an order is claimed.
+    """There is no quorum while an order is claimed.
 
-    Sent without a claim, the order could run twice.
+    If it were sent without a claim, the order could run twice.
     """
     world = build_world()
     propose = world.state.propose
@@ -196,15 +196,15 @@
 
 
 def test_answer_is_given_and_kept_although_the_leader_is_lost():
-    """The leader dies after an order ran and before its answer is kept.
+    """The leader crashes after an order ran, before its answer is stored.
 
-    The caller gets its answer at once; a resend gets it once a new leader
-    is there.
+    The caller must get its answer at once, and a resend must get it after a
+    new leader is elected.
     """
     world = build_world()
     propose = world.state.propose
     failures = [1, 2]
-    kept = threading.Event()
+    stored = threading.Event()
 
     def fail(command, *, timeout_s):
         if isinstance(command, FinishClaim):
@@ -212,20 +212,20 @@
                 failures.pop()
                 raise StateUnavailableError("no leader", proposed=False)
             result = propose(command, timeout_s=timeout_s)
-            kept.set()
+            stored.set()
             return result
         return propose(command, timeout_s=timeout_s)
 
     world.state.propose = fail
     assert _call(world, order(world, key="k")).answer.body == b"run 1"
-    assert kept.wait(30)
+    assert stored.wait(30)
     assert _call(world, order(world, key="k")).answer.body == b"run 1"
 
 
 def test_claim_of_a_call_that_came_too_late_is_released():
     """The deadline passes while an order is being claimed.
 
-    Kept, the claim would turn every resend away for a day.
+    If the claim were not released, every resend would be refused for a day.
     """
     world = build_world()
     late = order(world, key="k")
--- a/currantdeal/serving/tests/test_generation.py
+++ b/currantdeal/serving/tests/test_generation.py
@@ -35,7 +35,7 @@
 def _refusal(world, request):
     with pytest.raises(RefusedError) as caught:
         world.serving.generation.complete(request)
-    world.settle()
+    world.wait_for_cleanup()
     return caught.value
 
 
@@ -44,14 +44,15 @@
     done = world.serving.generation.complete(generation(world))
     assert (done.text, done.finish_reason) == (WHOLE, "stop")
     assert world.engines.names() == ["prefill", "import", "decode"]
-    world.settle()
-    assert world.reserved() == 0
+    world.wait_for_cleanup()
+    assert world.grants_held() == 0
 
 
 def test_silent_stream_goes_on_where_it_stopped():
-    """A connection loses track of a stream after two outputs.
+    """A connection becomes silent after two outputs.
 
-    The caller would wait for ever, or see outputs twice after a repeat.
+    Without a resume the caller waits forever; with one that ignores the
+    offset it sees outputs twice.
     """
     world = build_world()
     world.engines.decodes = [
@@ -65,45 +66,46 @@
 
 
 def test_hole_in_a_stream_is_filled_before_anything_follows():
-    """An output gets lost on the way, and the next one arrives.
+    """An output is lost on the connection, but the next one arrives.
 
-    The caller would read an answer with a word missing.
+    The caller must not get an answer with a missing word.
     """
     world = build_world()
     world.engines.decodes = [[OutputChunk(offset=1, text="t1 ")]]
     assert _text(world.serving.generation.open(generation(world))) == WHOLE
 
 
-def _forgotten():
+def _lost_engine():
     gone = UpstreamRefusedError("unknown-request", ran=Ran.NO)
     return [[*output(0, 3)[:1], _silent()], [gone]]
 
 
 def test_lost_engine_is_replaced_behind_what_the_caller_has():
-    """A decode engine dies or restarts in the middle of a stream.
+    """A decode engine crashes or restarts in the middle of a stream.
 
-    The caller would get half an answer, or the first half twice.
+    Without failover the caller gets half an answer; with one that does not
+    skip the sent part it gets the first half twice.
     """
     world = build_world()
-    world.engines.decodes = _forgotten()
+    world.engines.decodes = _lost_engine()
     stream = world.serving.generation.open(generation(world))
     assert _text(stream) == WHOLE
     stream.close()
-    world.engines.decodes = _forgotten()
+    world.engines.decodes = _lost_engine()
     done = world.serving.generation.complete(generation(world))
     assert done.text == WHOLE
-    world.settle()
-    assert world.reserved() == 0
+    world.wait_for_cleanup()
+    assert world.grants_held() == 0
 
 
 def test_end_of_another_answer_is_not_joined_to_the_first():
-    """The engine that takes over samples and begins differently.
+    """The replacement engine samples and generates a different beginning.
 
-    The caller would read two halves that do not belong together.
+    The caller must not get two halves of different answers.
     """
     world = build_world()
     other = [OutputChunk(offset=at, text="x ") for at in range(3)]
-    world.engines.decodes = [*_forgotten(), other]
+    world.engines.decodes = [*_lost_engine(), other]
     stream = world.serving.generation.open(generation(world))
     with pytest.raises(RefusedError) as caught:
         _text(stream)
@@ -112,13 +114,12 @@
 
 
 def test_restart_of_a_stream_is_bounded():
-    """Every decode engine dies one after the other.
+    """Every decode engine crashes, one after the other.
 
-    The caller must learn that there is no answer; nothing may go round for
-    ever.
+    The caller must get an error; the retries must not continue forever.
     """
     world = build_world()
-    world.engines.decodes = _forgotten() * 9
+    world.engines.decodes = _lost_engine() * 9
     stream = world.serving.generation.open(generation(world))
     with pytest.raises(RefusedError):
         _text(stream)
@@ -126,25 +127,25 @@
 
 
 def test_expired_prefill_is_computed_again():
-    """The transfer starts late and the prefill's result is gone by then.
+    """The transfer starts late, after the prefill's result has expired.
 
-    The caller would be refused although there is time for another prefill.
+    The request must not be refused while there is time for another prefill.
     """
     world = build_world()
     world.engines.on_import = [KvExpiredError("gone", ran=Ran.NO)]
     done = world.serving.generation.complete(generation(world))
-    world.settle()
+    world.wait_for_cleanup()
     assert done.text == WHOLE
     assert world.engines.names() == 2 * ["prefill", "import"] + ["decode"]
     assert world.engines.sent[-1].request_id.endswith(".1")
     assert world.counter("wasted_prefill_tokens_total") == 4
-    assert world.reserved() == 0
+    assert world.grants_held() == 0
 
 
 def test_nothing_is_sent_without_a_lease():
-    """An instance is cut off from the others for longer than its lease.
+    """An instance is partitioned from the others for longer than its lease.
 
-    It would send work to upstreams that were withdrawn meanwhile.
+    It must not send work to upstreams that may have been withdrawn.
     """
     world = build_world()
     world.state.lease_s = 0.0
@@ -156,9 +157,9 @@
 
 
 def test_lease_that_ends_after_prefill_is_no_not_run():
-    """The lease runs out between prefill and transfer.
+    """The lease expires between prefill and transfer.
 
-    A refusal "not run" would be untrue, since the prefill ran.
+    The outcome must not be "not run", since the prefill ran.
     """
     world = build_world()
 
@@ -169,13 +170,13 @@
     refusal = _refusal(world, generation(world))
     assert world.engines.names() == ["prefill"]
     assert refusal.outcome is Outcome.FAILED
-    assert world.reserved() == 0
+    assert world.grants_held() == 0
 
 
 def test_upstream_withdrawn_meanwhile_gets_no_work():
-    """The partner withdraws the decode engines while a prefill runs.
+    """The operator withdraws the decode engines while a prefill runs.
 
-    Work would reach them after they were withdrawn.
+    No work may reach them after the withdrawal.
     """
     world = build_world()
     world.engines.on_prefill = [lambda: withdraw(world.state, "d1", "d2")]
@@ -185,10 +186,10 @@
 
 
 def test_unknown_outcome_is_not_hidden_by_a_later_refusal():
-    """A prefill may have run; before the retry the lease runs out.
+    """A prefill may have run, and the lease expires before the retry.
 
-    The last refusal alone would say "not run", and so would the failure of
-    a second attempt that cannot open a connection.
+    The outcome must cover all attempts: that of the last refusal alone is
+    "not run", and so is that of a retry which cannot open a connection.
     """
     world = build_world()
 
@@ -207,8 +208,9 @@
 def test_unreachable_engine_is_retried_elsewhere_within_the_budget():
     """No connection can be opened to a prefill engine.
 
-    The caller would be refused although other engines are idle; without a
-    bound an outage would multiply the load on what is left.
+    Without retries the caller is refused although other engines are idle.
+    Unlimited retries would be a retry storm: an outage would multiply the
+    load on the remaining engines.
     """
     world = build_world()
     failure = UpstreamUnreachableError("no", ran=Ran.NO)
@@ -221,9 +223,9 @@
 
 
 def test_full_pool_refuses_before_any_prefill():
-    """Every piece of decode memory is taken until after the deadline.
+    """All decode memory is reserved until after the deadline.
 
-    Prefills would be computed and thrown away.
+    A prefill would be wasted, since its result expires before it is used.
     """
     world = build_world(
         upstreams=[
@@ -238,14 +240,14 @@
     assert refusal.retry_after_s >= 1.0
     assert world.engines.names().count("prefill") == 1
     first.close()
-    world.settle()
-    assert world.reserved() == 0
+    world.wait_for_cleanup()
+    assert world.grants_held() == 0
 
 
 def test_late_first_output_is_not_sent():
-    """An engine takes so long that the deadline passes.
+    """An engine is so slow that the deadline passes.
 
-    The caller would get an answer that is of no use any more.
+    The caller must get a refusal rather than an answer it can no longer use.
     """
     world = build_world()
     world.engines.on_import = [lambda: world.clock.sleep(60.0)]
@@ -259,13 +261,14 @@
 
 
 def test_caller_who_hangs_up_frees_memory_at_both_engines():
-    """A caller goes away while its prompt is being computed.
+    """A caller disconnects while its prefill runs.
 
-    The engine would work and hold memory for nobody.
+    Without a cancel the engine would continue to compute and hold memory
+    for it.
     """
     world = build_world()
     blocked, ended = threading.Event(), threading.Event()
-    hung_up = []
+    disconnected = []
 
     def wait():
         blocked.set()
@@ -273,7 +276,7 @@
         raise UpstreamRefusedError("cancelled", ran=Ran.YES)
 
     world.engines.on_prefill = [wait]
-    request = generation(world, gone=lambda: bool(hung_up))
+    request = generation(world, gone=lambda: bool(disconnected))
     raised = []
 
     def serve():
@@ -285,28 +288,29 @@
     thread = threading.Thread(target=serve)
     thread.start()
     assert blocked.wait(30)
-    hung_up.append(True)
-    world.serving.hangups.look()
-    world.settle()
+    disconnected.append(True)
+    world.serving.hangups.check_callers()
+    world.wait_for_cleanup()
     assert len(world.engines.cancelled) == 1
     ended.set()
     thread.join(30)
-    world.settle()
+    world.wait_for_cleanup()
     assert len(raised) == 1
-    assert world.reserved() == 0
+    assert world.grants_held() == 0
 
 
 def test_closed_stream_is_cancelled_once():
-    """A caller goes away in the middle of its answer.
+    """A caller disconnects in the middle of its answer.
 
-    The decode engine would hold the memory to the last output.
+    Without a cancel the decode engine would hold its memory until the last
+    output.
     """
     world = build_world()
     stream = world.serving.generation.open(generation(world))
     decode = world.engines.sent[-1]
     stream.close()
     stream.close()
-    world.settle()
+    world.wait_for_cleanup()
     cancelled = [(decode.upstream_id, decode.request_id)]
     assert world.engines.cancelled == cancelled
-    assert world.reserved() == 0
+    assert world.grants_held() == 0
--- a/currantdeal/serving/tests/test_query_of_death.py
+++ b/currantdeal/serving/tests/test_query_of_death.py
@@ -1,4 +1,8 @@
-"""A request that crashes each upstream that runs it."""
+"""Tests of requests that crash each upstream that runs them.
+
+Without the quarantine a caller that retries would take down one upstream
+after the other.
+"""
 
 from dataclasses import replace
 
@@ -19,21 +23,21 @@
 ALLOWED_CRASHES = 3
 
 
-def _crash(world, sent):
-    """End the upstream that was sent something; it comes back anew."""
+def _crash_last_upstream(world, sent):
+    """Crash the upstream that got the last call; it restarts at once."""
     record = world.state.view().upstreams[sent[-1].upstream_id]
-    born = record.upstream.incarnation + 1
-    again = replace(record.upstream, incarnation=born)
-    propose(world.state, AnnounceUpstream, upstream=again)
+    incarnation = record.upstream.incarnation + 1
+    restarted = replace(record.upstream, incarnation=incarnation)
+    propose(world.state, AnnounceUpstream, upstream=restarted)
     raise UpstreamCrashedError("ended", ran=Ran.MAYBE)
 
 
 def _crashes(world, sent, number):
-    return [lambda: _crash(world, sent) for _ in range(number)]
+    return [lambda: _crash_last_upstream(world, sent) for _ in range(number)]
 
 
 def _world(crashes, *, stage=None):
-    """Return a world whose upstreams end under what they run at first."""
+    """Return a world whose upstreams crash during their first calls."""
     names = range(6)
     world = build_world(
         upstreams=[
@@ -53,43 +57,43 @@
     return world
 
 
-def _reasons(ask, times):
-    found = []
+def _refusals(send, times):
+    refusals = []
     for _ in range(times):
         with pytest.raises(RefusedError) as caught:
-            ask()
-        found.append((caught.value.reason, caught.value.outcome))
-    return found
+            send()
+        refusals.append((caught.value.reason, caught.value.outcome))
+    return refusals
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_call_that_crashes_services_is_not_sent_on(method):
-    """Guards against a call that crashes one service after the other."""
+    """A call that crashes services must be quarantined after 3 crashes."""
     world = _world(20)
     request = order(world, method=method)
-    found = _reasons(lambda: world.serving.calls.call(request), 6)
+    refusals = _refusals(lambda: world.serving.calls.call(request), 6)
     assert len(world.services.sent) == ALLOWED_CRASHES
-    assert found[-1] == (Reason.QUARANTINED, Outcome.NOT_RUN)
+    assert refusals[-1] == (Reason.QUARANTINED, Outcome.NOT_RUN)
 
 
 @pytest.mark.parametrize("stage", ["prefill", "decode"])
 def test_prompt_that_crashes_engines_is_not_sent_on(stage):
-    """Guards against a prompt that crashes one engine after the other."""
+    """A prompt that crashes engines must be quarantined after 3 crashes."""
     world = _world(20, stage=stage)
 
-    def ask():
+    def send():
         try:
             world.serving.generation.complete(generation(world))
         finally:
-            world.settle()
+            world.wait_for_cleanup()
 
-    found = _reasons(ask, 6)
+    refusals = _refusals(send, 6)
     assert world.engines.names().count(stage) == ALLOWED_CRASHES
-    assert found[-1] == (Reason.QUARANTINED, Outcome.NOT_RUN)
+    assert refusals[-1] == (Reason.QUARANTINED, Outcome.NOT_RUN)
 
 
 def test_call_beside_a_crash_is_tried_again_and_cleared():
-    """Guards against refusing calls whose service ended for other reasons."""
+    """A call must not be refused if its service crashed for other reasons."""
     world = _world(0)
     for _ in range(5):
         world.services.script = _crashes(world, world.services.sent, 1)
--- a/currantdeal/serving/view.py
+++ b/currantdeal/serving/view.py
@@ -1,19 +1,23 @@
-"""What the replicated state allows this instance to do at present."""
+"""Selects the upstreams that this instance may use for a request.
+
+They follow from the replicated state, which may guide new work only while the
+instance holds a lease.
+"""
 
 from currantdeal.core import Role
 from currantdeal.serving.errors import Reason, not_run
 from currantdeal.state import Eligibility, work_class
 
 LEASE_RETRY_S = 1.0
-"""When a caller should come back to an instance without a lease.
+"""Retry delay that an instance without a lease returns to callers.
 
-A cut that heals lets the lease be renewed within a renewal or two; until
-then other instances serve.
+Once a network partition ends, the lease is renewed within one or two renewal
+intervals; until then other instances serve.
 """
 
 
 class ServingView:
-    """Upstreams that may serve work, under a lease that is checked.
+    """Eligible upstreams according to the replicated state.
 
     Parameters
     ----------
@@ -22,40 +26,47 @@
     """
 
     def __init__(self, *, state):
-        """Keep the state; eligibility is computed when first asked for."""
+        """Store the state and its current eligibility."""
         self._state = state
         self._eligibility = Eligibility(state=state.view())
 
     def check_lease(self):
-        """Raise a refusal when the view may not guide new work.
+        """Raise ``RefusedError`` if this instance holds no valid lease.
 
-        An instance that was cut off still knows upstreams that operators
-        have withdrawn since; one would notice by work arriving there
+        The state of a partitioned instance may still contain upstreams that
+        operators have withdrawn.  Without the check they would receive work
         seconds after the withdrawal was accepted.
         """
         if self._state.lease_remaining_s() <= 0:
             raise not_run(
-                "this instance is cut off from the others",
+                "this instance holds no valid lease; it may be partitioned "
+                "from the others",
                 reason=Reason.NO_LEASE,
                 retry_after_s=LEASE_RETRY_S,
             )
 
     def may_serve(self, work, role, upstream):
-        """Return whether an upstream is still allowed for the work."""
+        """Return whether an upstream is still eligible for the work."""
         return upstream in self._allowed(work, role)
 
     def candidates(self, work, role):
-        """Return the upstreams allowed for the work, or raise a refusal."""
-        found = self._allowed(work, role)
-        if found:
-            return found
+        """Return the upstreams eligible for the work.
+
+        Raises
+        ------
+        RefusedError
+            If there are none.
+        """
+        allowed = self._allowed(work, role)
+        if allowed:
+            return allowed
         if not self._is_known(work.target):
             raise not_run(
                 f"no upstream serves {work.target!r}",
                 reason=Reason.UNKNOWN_TARGET,
             )
         raise not_run(
-            f"no selector lets an upstream serve {work.target!r} "
+            f"no selector allows an upstream to serve {work.target!r} "
             f"as {role.value}",
             reason=Reason.NO_MATCHING_UPSTREAM,
         )
