--- a/currantdeal/entry/__init__.py
+++ b/currantdeal/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Entries: the life of a request between its caller and its upstreams."""
+"""Entries: the processes that route requests from callers to upstreams."""
--- a/currantdeal/entry/context.py
+++ b/currantdeal/entry/context.py
@@ -1,4 +1,4 @@
-"""What all requests of an entry share, and the state of one of them."""
+"""Holds the state shared by all requests of an entry, and that of each one."""
 
 import asyncio
 from dataclasses import dataclass
@@ -20,18 +20,18 @@
 
 
 class EntryContext:
-    """Shared by the requests of one entry.
+    """State shared by the requests of one entry.
 
     Parameters
     ----------
     view : EntryView
-        Routes and upstreams.
+        Routes in force and known upstreams.
     pool : ConnectionPool
         Connections to upstreams.
     dialect : currantdeal.node.dialect.UpstreamDialect
         Formats of requests and answers.
     random : random.Random
-        Source of ties and spreads.
+        Source of randomness for tie-breaking and jitter.
     budget : BudgetBounds
         Bounds of the retry budget of each service.
     metrics : currantdeal.ports.MetricsPort
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, *, view, pool, dialect, random, budget, metrics):
-        """Keep the parts."""
+        """Start without load or failures."""
         self.view = view
         self.pool = pool
         self.dialect = dialect
@@ -48,11 +48,11 @@
         self.standings = Standings()
         self.load = EntryLoad()
         self.memory = DecodeMemory(load=self.load)
-        self.prefills = Standings()
+        self.prefill_standings = Standings()
         self.patience = PatienceBook()
-        self.turns = ReadingTurns()
+        self.local_prefills = ReadingTurns()
         self.tell_reading = None
-        self._bounds = budget
+        self._budget_bounds = budget
         self._budgets = {}
         self._meters = {}
         self._background = set()
@@ -75,38 +75,38 @@
         return asyncio.get_running_loop().time()
 
     def eject(self, record, standings):
-        """Eject an upstream that cannot be reached, until it answers."""
+        """Eject an unreachable upstream until it answers a health check."""
         self._prober.eject(record, standings)
 
-    def begin_reading(self, upstream, for_s):
-        """Note, and tell others, that a decode engine reads a prompt."""
-        self.turns.begin(upstream, for_s, now_s=self.now_s)
+    def begin_local_prefill(self, upstream, for_s):
+        """Record a local prefill and announce it to the other entries."""
+        self.local_prefills.begin(upstream, for_s, now_s=self.now_s)
         if self.tell_reading is not None:
             self.tell_reading(upstream, for_s)
 
     def take_reading(self, upstream, for_s):
-        """Note that a decode engine reads a prompt of another entry."""
-        self.turns.begin(upstream, for_s, now_s=self.now_s)
+        """Record a local prefill of another entry."""
+        self.local_prefills.begin(upstream, for_s, now_s=self.now_s)
 
     def note_request(self, service):
-        """Count a caller's request towards the budget of its service."""
+        """Count a caller's request towards the retry budget of its service."""
         self._budget(service).note_request(now_s=self.now_s)
 
-    def may_repeat(self, service):
-        """Use the retry budget of a service once, if it allows that."""
+    def use_retry_budget(self, service):
+        """Use a service's budget for a retry; returns False if it is empty."""
         return self._budget(service).take(
             now_s=self.now_s, entries=self.view.entries
         )
 
     def budgets_left(self):
-        """Return the repeats that each service's budget allows now."""
+        """Return the retries that each service's budget allows now."""
         return {
             name: budget.left(now_s=self.now_s, entries=self.view.entries)
             for name, budget in self._budgets.items()
         }
 
     def meter(self, service):
-        """Return what measures the demand of a service."""
+        """Return the ``DemandMeter`` of a service."""
         return self._meters.setdefault(service, DemandMeter())
 
     def take_demand(self):
@@ -114,19 +114,19 @@
         return {name: m.take() for name, m in self._meters.items()}
 
     def report_load(self):
-        """Return what this entry holds at engines, for the others."""
+        """Return the load of this entry, as reported to the others."""
         now_s = self.now_s
         out = {
             *self.standings.out(now_s=now_s),
-            *self.prefills.out(now_s=now_s),
-            *self.prefills.unresponsive(now_s=now_s),
+            *self.prefill_standings.out(now_s=now_s),
+            *self.prefill_standings.unresponsive(now_s=now_s),
         }
         return self.load.report(
             unreachable=out, patience=self.patience.longest_s
         )
 
     def take_load(self, load):
-        """Take what all entries hold at engines."""
+        """Update the load of all entries at the engines."""
         self.load.take(load, now_s=self.now_s)
         self.patience.learn(load.patience)
 
@@ -140,9 +140,9 @@
         found = self._budgets.get(service)
         if found is None:
             found = SharedBudget(
-                ratio=self._bounds.ratio,
-                allowance=self._bounds.allowance,
-                window_s=self._bounds.window_s,
+                ratio=self._budget_bounds.ratio,
+                allowance=self._budget_bounds.allowance,
+                window_s=self._budget_bounds.window_s,
             )
             self._budgets[service] = found
         return found
@@ -158,64 +158,72 @@
 
 
 class MemorySearch:
-    """Counts of a request's search for memory, for its log line.
+    """Counts of a request's attempts to reserve memory, for its log line.
 
-    ``asked`` are reservations that were requested, ``refused`` those that an
-    engine refused, and ``without_room`` rounds in which no engine was
-    believed to have room.
+    Attributes
+    ----------
+    requested : int
+        Reservations that were requested.
+    refused : int
+        Reservations that an engine refused.
+    rounds_without_room : int
+        Rounds in which no engine was estimated to have room.
     """
 
     def __init__(self):
-        """Count nothing yet."""
-        self.asked = 0
+        """Start all counts at zero."""
+        self.requested = 0
         self.refused = 0
-        self.without_room = 0
+        self.rounds_without_room = 0
 
     def __str__(self):
         """Return the counts as they are logged."""
-        return f"{self.asked}/{self.refused}/{self.without_room}"
+        return f"{self.requested}/{self.refused}/{self.rounds_without_room}"
 
 
 class ActiveRequest:
-    """One request on its way.
+    """One request that is being handled.
 
     Parameters
     ----------
     request : currantdeal.node.http_request.Request
         The whole request.
     responder : currantdeal.node.http_request.Responder
-        Takes the answer.
+        Sends the answer.
     call : currantdeal.node.dialect.CallerRequest
-        What its head says.
+        Fields of its head.
     route, service : Route, Service
-        Where it goes.
+        Route that matches it, and the service that handles it.
     version : int
-        Version of the configuration that chose them.
-    ends_s : float
-        Loop time at which its time is over.
+        Version of the configuration of that route.
+    deadline_s : float
+        Loop time by which it must end.
 
     Attributes
     ----------
+    is_retry : bool
+        Whether its caller has waited before, on an earlier attempt.
     runs : int
-        Upstreams that may have run it.
-    lost : list
-        Incarnations of upstreams whose connections ended while they ran it.
+        Number of upstreams that may have run it.
+    lost_incarnations : list
+        Incarnations of upstreams whose connections were lost while they ran
+        it.
     """
 
     def __init__(
-        self, *, request, responder, call, route, service, version, ends_s
+        self, *, request, responder, call, route, service, version, deadline_s
     ):
-        """Keep the parts."""
+        """Start before the first attempt."""
         self.request = request
         self.responder = responder
         self.call = call
         self.route = route
         self.service = service
         self.version = version
-        self.ends_s = ends_s
-        self.has_returned = False
+        self.deadline_s = deadline_s
+        self.is_retry = False
         self.runs = 0
-        self.lost = []
+        self.lost_incarnations = []
         self.search = MemorySearch()
         self.steps = []
         self.first_output_s = None
@@ -224,13 +232,13 @@
 
     @property
     def is_generation(self):
-        """Whether it goes to a model engine, which streams its answer."""
+        """Whether it is served by a model engine, which streams its answer."""
         engine = self.service.engine
         return engine is not None and self.call.prompt_tokens > 0
 
     @cached_property
     def fingerprint(self):
-        """By what it counts as the same request when it is sent again."""
+        """Fingerprint, equal for each retry of the same request."""
         return fingerprint_of(self.request, self.call)
 
     @property
@@ -245,7 +253,7 @@
         return CallKind.NON_IDEMPOTENT
 
     def note_output(self, now_s):
-        """Note that a part of the answer goes to the caller."""
+        """Record the time of output that is sent to the caller."""
         if self._last_output_s is None:
             self.first_output_s = now_s
         else:
@@ -253,8 +261,8 @@
             self.longest_pause_s = max(self.longest_pause_s, pause_s)
         self._last_output_s = now_s
 
-    def note(self, kind, upstream="", detail=""):
-        """Keep a step, with its time, for the request's log line."""
+    def add_step(self, kind, upstream="", detail=""):
+        """Add a step at the current time, for the request's log line."""
         now_s = asyncio.get_running_loop().time()
         self.steps.append(
             Step(
@@ -265,10 +273,10 @@
             )
         )
 
-    def note_failure(self, upstream, exc):
-        """Keep the step that a failed exchange is."""
-        self.note(kind_of_failure(exc), upstream, exc)
+    def add_failure_step(self, upstream, exc):
+        """Add the step for a failed exchange."""
+        self.add_step(kind_of_failure(exc), upstream, exc)
 
     def time_left_s(self, now_s):
-        """Return the seconds in which an answer is of use."""
-        return max(0.0, self.ends_s - now_s)
+        """Return the seconds until the deadline of the request."""
+        return max(0.0, self.deadline_s - now_s)
--- a/currantdeal/entry/crash_watch.py
+++ b/currantdeal/entry/crash_watch.py
@@ -1,6 +1,8 @@
-"""Which requests crash upstreams, as one entry finds out and is told.
+"""Detects requests that crash upstreams and keeps them from being sent again.
 
-Load pattern: query of death, see ``currantdeal.policy.crash_book``.
+Load pattern: query of death, see ``currantdeal.policy.crash_book``.  Crashes
+that this entry detects are published to all other processes, and the records
+of the others are merged here.
 """
 
 import asyncio
@@ -16,15 +18,16 @@
 
 
 class CrashWatch:
-    """Keeps requests that crash upstreams from being sent again.
+    """Detects and quarantines requests that crash upstreams.
 
-    A connection that ends early may have been reset on its way, or closed by a
-    faulty upstream.  Only a process that has ended refuses a new connection.
+    A connection that ends early may have been reset by the network, or closed
+    by a faulty upstream.  Only a process that has ended refuses a new
+    connection, so one is opened to confirm a crash.
 
     Parameters
     ----------
     view : EntryView
-        Tells which upstreams are to end anyway.
+        Upstreams; one that is draining is expected to end.
     pool : ConnectionPool
         Opens connections to upstreams.
     metrics : currantdeal.ports.MetricsPort
@@ -35,11 +38,11 @@
     Attributes
     ----------
     tell : callable
-        Tells all other processes of changed ``SuspectRecord``.
+        Sends each changed ``SuspectRecord`` to all other processes.
     """
 
     def __init__(self, *, view, pool, metrics, in_background):
-        """Suspect nobody."""
+        """Start without suspect requests."""
         self._view = view
         self._pool = pool
         self._metrics = metrics
@@ -51,7 +54,7 @@
 
     @property
     def records(self):
-        """All ``SuspectRecord``, for a control instance that is followed."""
+        """All ``SuspectRecord``, to send to a new source."""
         return self._book.records
 
     @property
@@ -68,20 +71,26 @@
         return not self._book.may_run(active.fingerprint, software)
 
     def may_send(self, active):
-        """Return whether an upstream may be sent a request.
+        """Return whether a request may be sent to an upstream.
 
-        After a lost run one more is worth it if nothing else counts against
-        the request: most upstreams end for reasons of their own.
+        After a lost run the request may run once more if no other crash
+        counts against it: most upstreams end for reasons unrelated to the
+        request.
         """
         if self.is_quarantined(active):
             return False
-        if not active.lost:
+        if not active.lost_incarnations:
             return True
-        score = self._book.score(active.fingerprint, without=active.lost[-1])
+        score = self._book.score(
+            active.fingerprint, without=active.lost_incarnations[-1]
+        )
         return score < EARLY_WEIGHT
 
-    def lost(self, active, record, moment, *, events=0):
-        """Look into a run whose connection ended early.
+    def note_lost_run(self, active, record, moment, *, events=0):
+        """Check whether a lost run ended with a crash of its upstream.
+
+        The check runs in the background.  If the upstream was draining, its
+        end does not count against the request.
 
         Parameters
         ----------
@@ -92,7 +101,7 @@
         moment : currantdeal.policy.reset_outcome.Moment
             How far the call had come.
         events : int
-            Events of this run that were passed on.
+            Events of this run that were forwarded.
         """
         crash = Crash(
             upstream=record.upstream,
@@ -100,24 +109,24 @@
             early=not events,
             software=record.software,
         )
-        active.lost.append(crash.incarnation)
-        leaves = not self._view.takes_work(record.upstream)
+        active.lost_incarnations.append(crash.incarnation)
+        leaves = not self._view.accepts_work(record.upstream)
         self._in_background(
-            self._look(
+            self._record_lost_run(
                 active, record, moment, events, None if leaves else crash
             )
         )
 
-    def completed(self, active):
+    def note_completion(self, active):
         """Clear a request that an upstream has answered in full."""
         if self._book and self._book.is_suspect(active.fingerprint):
-            self._spread(self._book.add_completion(active.fingerprint))
+            self._publish(self._book.add_completion(active.fingerprint))
 
-    def take(self, records):
-        """Take in what other processes know."""
+    def merge(self, records):
+        """Merge ``SuspectRecord`` of other processes."""
         self._suspect_log.note(self._book.merge(records))
 
-    async def _look(self, active, record, moment, events, crash):
+    async def _record_lost_run(self, active, record, moment, events, crash):
         crashed = await self._has_ended(record)
         self._metrics.add("runs_lost_total", crashed=str(crashed).lower())
         _log.info(
@@ -132,9 +141,9 @@
             crashed=crashed,
         )
         if crashed and crash is not None:
-            self._spread(self._book.add_crash(active.fingerprint, crash))
+            self._publish(self._book.add_crash(active.fingerprint, crash))
 
-    def _spread(self, changed):
+    def _publish(self, changed):
         self._suspect_log.note(changed)
         if changed:
             self.tell(changed)
@@ -142,24 +151,26 @@
     async def _has_ended(self, record):
         """Return whether the process of an upstream has ended.
 
-        One check serves all runs that a crash ended.
+        All runs that a crash ended share one check.
         """
         key = (record.upstream, record.started_ms)
         check = self._checks.get(key)
         if check is None:
-            check = asyncio.ensure_future(self._refuses(record.address))
+            check = asyncio.ensure_future(
+                self._refuses_connections(record.address)
+            )
             self._checks[key] = check
             check.add_done_callback(lambda _: self._checks.pop(key))
         return await asyncio.shield(check)
 
-    async def _refuses(self, address):
+    async def _refuses_connections(self, address):
         try:
             connection = await self._pool.open(address)
         except ConnectRefusedError:
             return True
         except ConnectError:
-            # It may be cut off; that it takes no connection is logged where
-            # a request needs one.
+            # It may only be partitioned from here.  Failed connections are
+            # logged where a request needs one.
             return False
         self._pool.put_back(connection)
         return False
--- a/currantdeal/entry/errors.py
+++ b/currantdeal/entry/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the entries: why a request gets no answer of an upstream."""
+"""Errors of the entries: why a request gets no complete answer."""
 
 from currantdeal.core.errors import CurrantdealError
 from currantdeal.policy.return_time import Shortage
@@ -9,18 +9,18 @@
 
 
 class RefusedError(EntryError):
-    """The request has not run and will not.
+    """The request has not run and will not run.
 
     Parameters
     ----------
     reason : str
-        For logs and for the caller.
+        Text for logs and for the caller.
     shortage : Shortage
-        What there is too little of, which tells when to come back.
+        What is missing; determines the retry-after.
     """
 
     def __init__(self, reason, *, shortage):
-        """Keep the reason and the shortage."""
+        """Store the reason and the shortage."""
         super().__init__(reason)
         self.shortage = shortage
 
@@ -31,11 +31,11 @@
     Parameters
     ----------
     fingerprint : str
-        As logs show it.
+        Short form, as in logs.
     """
 
     def __init__(self, fingerprint):
-        """Refuse it as any other that has not run."""
+        """Compose the reason; the request has not run."""
         super().__init__(
             f"it is in quarantine as {fingerprint}: upstreams that ran it"
             " crashed",
@@ -44,25 +44,25 @@
 
 
 class FailedError(EntryError):
-    """The request may have run and has no answer."""
+    """The request may have run, and its outcome is unknown."""
 
 
-class BrokenOffError(EntryError):
-    """The answer ends early, after a part of it was passed on."""
+class IncompleteAnswerError(EntryError):
+    """The answer ended early, after a part of it was forwarded."""
 
 
-class PromptNotReadError(EntryError):
-    """A prefill engine did not read a prompt, or did not say so.
+class PrefillFailedError(EntryError):
+    """A prefill engine did not confirm the prefill of a prompt.
 
     Parameters
     ----------
     reason : str
-        For logs.
-    taken : bool
-        True when the engine may be reading it all the same.
+        Text for logs.
+    maybe_running : bool
+        Whether the engine may run the prefill nevertheless.
     """
 
-    def __init__(self, reason, *, taken):
-        """Keep the reason and whether the prompt may have been taken."""
+    def __init__(self, reason, *, maybe_running):
+        """Store the reason and whether the prefill may be running."""
         super().__init__(reason)
-        self.taken = taken
+        self.maybe_running = maybe_running
--- a/currantdeal/entry/events.py
+++ b/currantdeal/entry/events.py
@@ -1,22 +1,22 @@
-"""Cutting a stream of events into whole events."""
+"""Splits a byte stream into complete events."""
 
 MAX_EVENT_BYTES = 1_048_576
-"""Longest event; what is longer is passed on in pieces."""
+"""Longest event that is buffered; a longer one is forwarded in pieces."""
 
 
 class EventSplitter:
-    r"""Takes bytes of an event stream and gives out whole events.
+    r"""Splits the bytes of an event stream into complete events.
 
-    An upstream that crashes may stop in the middle of an event.  If the part
-    were passed on, the next upstream's events would be joined to it and the
-    caller would read a wrong one.
+    An upstream that crashes may stop in the middle of an event.  If the
+    partial event were forwarded, the next upstream's events would be appended
+    to it and the caller would parse a wrong event.
 
     Examples
     --------
     >>> splitter = EventSplitter()
-    >>> splitter.take(b"id: 1\ndata: a\n\nid: 2\nda")
+    >>> splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     b'id: 1\ndata: a\n\n'
-    >>> splitter.last_id, splitter.rest
+    >>> splitter.last_id, splitter.partial_event
     ('1', b'id: 2\nda')
     """
 
@@ -28,42 +28,42 @@
 
     @property
     def count(self):
-        """Number of whole events so far."""
+        """Number of complete events so far."""
         return self._count
 
     @property
     def last_id(self):
-        """Id of the last whole event; empty before the first."""
+        """Id of the last complete event; empty before the first."""
         return self._last_id
 
     @property
-    def rest(self):
-        """Bytes of an event that is not whole yet."""
+    def partial_event(self):
+        """Bytes of an event that is not complete yet."""
         return self._buffer
 
-    def take(self, data):
-        """Return the bytes of the events that are whole now."""
+    def feed(self, data):
+        """Add received bytes; returns the bytes of the events now complete."""
         self._buffer += data
         end = _end_of_events(self._buffer)
         if not end and len(self._buffer) > MAX_EVENT_BYTES:
             end = len(self._buffer)
-        whole, self._buffer = self._buffer[:end], self._buffer[end:]
-        self._count += whole.count(b"\ndata:")
-        self._note_ids(whole)
-        return whole
+        complete, self._buffer = self._buffer[:end], self._buffer[end:]
+        self._count += complete.count(b"\ndata:")
+        self._note_ids(complete)
+        return complete
 
-    def drop_rest(self):
-        """Forget an event that its upstream did not finish.
+    def drop_partial_event(self):
+        """Discard an event that its upstream did not complete.
 
-        The upstream that goes on sends it again from its beginning.
+        The upstream that resumes the stream sends it again in full.
         """
         self._buffer = b""
 
-    def _note_ids(self, whole):
-        at = max(whole.rfind(b"\nid:"), -1)
-        if at < 0 and not whole.startswith(b"id:"):
+    def _note_ids(self, complete):
+        at = max(complete.rfind(b"\nid:"), -1)
+        if at < 0 and not complete.startswith(b"id:"):
             return
-        line = whole[at + 1 :].split(b"\n", 1)[0]
+        line = complete[at + 1 :].split(b"\n", 1)[0]
         self._last_id = line[3:].strip().decode("latin-1")
 
 
--- a/currantdeal/entry/generation.py
+++ b/currantdeal/entry/generation.py
@@ -1,7 +1,7 @@
-"""Generations: memory first, then the prompt, then the stream.
+"""Runs a generation: reserve memory, prefill the prompt, stream the output.
 
-A generation reserves memory at a decode engine before its prompt is prefilled,
-because a KV cache that nobody can take expires soon.
+Memory at a decode engine is reserved before the prompt is prefilled, because
+a KV cache that no decode engine can fetch expires soon.
 """
 
 import asyncio
@@ -10,13 +10,13 @@
 
 from currantdeal.core import Ran
 from currantdeal.entry.errors import (
-    BrokenOffError,
     FailedError,
+    IncompleteAnswerError,
     QuarantinedError,
     RefusedError,
 )
-from currantdeal.entry.memory import MemorySeeker
-from currantdeal.entry.prefill import free_prompt, read_prompt
+from currantdeal.entry.memory import MemoryReserver
+from currantdeal.entry.prefill import prefill_prompt, release_kv_cache
 from currantdeal.entry.relay import EventRelay
 from currantdeal.entry.steps import StepKind
 from currantdeal.node.dialect import Directions
@@ -33,97 +33,101 @@
 from currantdeal.routing import Repeat
 
 RESERVE_WAIT_TARGETS = 2 / 3
-"""Longest wait for memory, in targets of the route.
+"""Longest wait for memory, as a multiple of the latency target of the route.
 
-The rest is for the prompt, the KV cache transfer and the first event.
+The rest is for the prefill, the KV cache transfer and the first event.
 """
 
 RESUME_SILENCE_PAUSES = 4.0
-"""Silence after which a stream resumes elsewhere, in its pause targets.
+"""Silence after which a stream is resumed at another engine, as a multiple of
+its pause target.
 
-It resumes only when memory for it is reserved: an engine that merely preempted
-the stream will go on with it.
+It is resumed only once memory is reserved there: an engine that has only
+preempted the stream will continue it.
 """
 
 RESUME_WAIT_PAUSES = 8.0
-"""Longest wait for memory of a broken stream, in its pause targets.
+"""Longest wait for memory to resume a stream, as a multiple of its pause
+target.
 
-Callers give up a little later; the rest is for the prompt.
+Callers time out a little later; the rest is for the prefill.
 """
 
-UNKNOWN_PAUSE_S = 0.3
-"""Pause target of a route that names none."""
+DEFAULT_PAUSE_TARGET_S = 0.3
+"""Pause target of a route without one."""
 
-HANDLE_SHARE = 0.7
-"""Share of the time of a KV cache for which it is offered to another engine.
+HANDLE_REUSE_SHARE = 0.7
+"""Share of the lifetime of a KV cache in which another engine may be sent it.
 
 The rest is for the engine to fetch it.
 """
 
-MAX_TRIES = 3
-"""Engines tried for one generation at most."""
+MAX_ATTEMPTS = 3
+"""Maximum number of attempts for one generation."""
 
 _log = structlog.get_logger(__name__)
 
 
 async def serve_generation(context, active):
-    """Run a generation and pass its events on.
+    """Run a generation and forward its events to the caller.
 
     Raises
     ------
     RefusedError
         If it was not run.
     FailedError
-        If it may have run and nothing of it was passed on.
-    BrokenOffError
-        If it ended early after a part was passed on.
+        If it may have run and no event was forwarded.
+    IncompleteAnswerError
+        If the answer ended early, after events were forwarded.
     """
-    active.has_returned = context.patience.has_returned(
+    active.is_retry = context.patience.has_returned(
         active.route.name,
         active.call.patience_s,
         limit_s=active.route.timeout_s,
     )
-    run = _Run(context=context, active=active)
+    generation = _Generation(context=context, active=active)
     try:
-        for attempt in range(MAX_TRIES):
-            if attempt and not run.may_try_again():
+        for attempt in range(MAX_ATTEMPTS):
+            if attempt and not generation.may_retry():
                 break
-            if await run.attempt():
+            if await generation.attempt():
                 return
     finally:
-        run.release_held()
-    run.give_up()
+        generation.release_unused()
+    generation.raise_failure()
 
 
-class _Run:
+class _Generation:
+    """State of one generation over its attempts."""
+
     def __init__(self, *, context, active):
         self._context = context
         self._active = active
         self._relay = EventRelay(context=context, active=active)
         self._reason = "no engine took it"
-        self._memory = MemorySeeker(context=context, active=active)
-        self._held = None
-        self._prefill = None
-        self._events_before = 0
+        self._reserver = MemoryReserver(context=context, active=active)
+        self._next_reservation = None
+        self._unused_prefill = None
+        self._events_before_run = 0
 
     @property
     def _now_s(self):
         return self._context.now_s
 
     @property
-    def _pause_s(self):
-        """Longest pause between events that is in time."""
-        return self._active.route.pause_target_s or UNKNOWN_PAUSE_S
+    def _pause_target_s(self):
+        """Longest timely pause between two events."""
+        return self._active.route.pause_target_s or DEFAULT_PAUSE_TARGET_S
 
     async def attempt(self):
         """Make one attempt; returns whether the answer is complete."""
-        reservation = self._held or await self._reserve()
-        self._held = None
+        reservation = self._next_reservation or await self._reserve()
+        self._next_reservation = None
         if reservation is None:
             self._reason = "no memory"
             return False
         used = False
-        self._active.note(StepKind.MEMORY, reservation.record.upstream)
+        self._active.add_step(StepKind.MEMORY, reservation.record.upstream)
         waited_s = self._now_s - self._active.request.arrived_s
         self._context.metrics.observe("memory_wait_seconds", waited_s)
         self._context.load.began(
@@ -132,9 +136,9 @@
         try:
             if not self._may_send():
                 return False
-            prefill = await self._read_prompt(reservation.record)
+            prefill = await self._obtain_prefill(reservation.record)
             if not self._may_decode(reservation.record):
-                self._prefill = prefill
+                self._unused_prefill = prefill
                 return False
             used = True
             return await self._decode(reservation, prefill)
@@ -143,7 +147,7 @@
                 reservation.record.upstream, reservation.tokens
             )
             if not used:
-                self._memory.release(reservation)
+                self._reserver.release(reservation)
 
     def _may_send(self):
         if self._context.crashes.may_send(self._active):
@@ -152,33 +156,34 @@
         return False
 
     def _may_decode(self, record):
-        """Return whether an engine may be sent what is prefilled."""
-        if not self._context.view.takes_work(record.upstream):
+        """Return whether the decode request may be sent to an engine."""
+        if not self._context.view.accepts_work(record.upstream):
             self._reason = "the engine left meanwhile"
             return False
         return self._may_send()
 
-    async def _read_prompt(self, record):
-        """Return the KV cache for an engine; None if it reads the prompt.
+    async def _obtain_prefill(self, record):
+        """Return a ``Prefill`` for an engine; None for local prefill.
 
-        One that was read for an engine that left is still good for another.
+        The ``Prefill`` of an earlier attempt whose engine left is reused if
+        it does not expire too soon.
         """
-        kept, self._prefill = self._prefill, None
-        if kept is not None:
-            age_s = self._now_s - kept.read_s
-            keeps_s = self._active.service.engine.handle_s
-            if age_s < HANDLE_SHARE * keeps_s:
-                return kept
-            free_prompt(self._context, kept)
-        return await read_prompt(
+        prefill, self._unused_prefill = self._unused_prefill, None
+        if prefill is not None:
+            age_s = self._now_s - prefill.completed_s
+            handle_ttl_s = self._active.service.engine.handle_s
+            if age_s < HANDLE_REUSE_SHARE * handle_ttl_s:
+                return prefill
+            release_kv_cache(self._context, prefill)
+        return await prefill_prompt(
             self._context,
             self._active,
             record,
-            in_time=not (self._relay.begun or self._active.has_returned),
+            in_time=not (self._relay.started or self._active.is_retry),
         )
 
-    def may_try_again(self):
-        """Return whether another attempt is allowed and of use."""
+    def may_retry(self):
+        """Return whether another attempt is allowed and can still succeed."""
         active = self._active
         if self._reason == "no memory" or not self._may_send():
             return False
@@ -189,30 +194,33 @@
             return False
         if active.runs >= active.route.max_upstreams:
             return False
-        if self._held is not None or self._prefill is not None:
+        if (
+            self._next_reservation is not None
+            or self._unused_prefill is not None
+        ):
             return True
-        if not self._may_repeat():
-            active.note(StepKind.NO_BUDGET)
+        if not self._use_retry_budget():
+            active.add_step(StepKind.NO_BUDGET)
             return False
         return True
 
-    def _may_repeat(self):
+    def _use_retry_budget(self):
         self._context.metrics.add("repeats_wanted_total")
-        return self._context.may_repeat(self._active.service.name)
-
-    def release_held(self):
-        """Give back memory and a KV cache that are not needed any more."""
-        if self._held is not None:
-            self._memory.release(self._held)
-            self._held = None
-        if self._prefill is not None:
-            free_prompt(self._context, self._prefill)
-            self._prefill = None
-
-    def give_up(self):
-        """Raise what the caller is told."""
-        if self._relay.begun:
-            raise BrokenOffError(self._reason)
+        return self._context.use_retry_budget(self._active.service.name)
+
+    def release_unused(self):
+        """Release a reservation and a KV cache that are no longer needed."""
+        if self._next_reservation is not None:
+            self._reserver.release(self._next_reservation)
+            self._next_reservation = None
+        if self._unused_prefill is not None:
+            release_kv_cache(self._context, self._unused_prefill)
+            self._unused_prefill = None
+
+    def raise_failure(self):
+        """Raise the error for the outcome of the generation."""
+        if self._relay.started:
+            raise IncompleteAnswerError(self._reason)
         if self._active.runs:
             raise FailedError(self._reason)
         if self._context.crashes.is_quarantined(self._active):
@@ -221,22 +229,22 @@
 
     async def _reserve(self):
         active = self._active
-        if self._relay.begun:
-            wait_s = RESUME_WAIT_PAUSES * self._pause_s
-            return await self._memory.find(self._now_s + wait_s)
+        if self._relay.started:
+            wait_s = RESUME_WAIT_PAUSES * self._pause_target_s
+            return await self._reserver.reserve(self._now_s + wait_s)
         arrived_s = active.request.arrived_s
-        if active.has_returned:
+        if active.is_retry:
             wait_s = LATE_WAIT_TARGETS * active.route.target_s
-            until_s = min(arrived_s + wait_s, active.ends_s)
-            return await self._memory.find(until_s, full=LATE_FULL)
+            until_s = min(arrived_s + wait_s, active.deadline_s)
+            return await self._reserver.reserve(until_s, full=LATE_FULL)
         wait_s = RESERVE_WAIT_TARGETS * active.route.target_s
-        until_s = min(arrived_s + wait_s, active.ends_s)
-        return await self._memory.find(until_s)
+        until_s = min(arrived_s + wait_s, active.deadline_s)
+        return await self._reserver.reserve(until_s)
 
     async def _decode(self, reservation, prefill):
         context, active = self._context, self._active
         record = reservation.record
-        self._events_before = self._relay.events
+        self._events_before_run = self._relay.events
         directions = Directions(
             upstream=record.upstream,
             time_left_s=active.time_left_s(self._now_s),
@@ -251,15 +259,15 @@
             connection = await context.pool.take(record.address)
         except ConnectError as exc:
             self._reason = str(exc)
-            self._prefill = prefill
-            self._memory.note_unreachable(record, exc)
+            self._unused_prefill = prefill
+            self._reserver.note_unreachable(record, exc)
             return False
         context.standings.began(record.upstream)
         try:
             connection.send(call)
             return await self._stream(connection, record)
         except ExchangeError as exc:
-            self._note_broken(record, exc)
+            self._handle_lost_run(record, exc)
             return False
         finally:
             context.standings.ended(record.upstream)
@@ -267,57 +275,67 @@
 
     async def _stream(self, connection, record):
         context, active = self._context, self._active
-        head = await self._patiently(connection.head(), record)
+        head = await self._wait_or_fail_over(connection.head(), record)
         traits = context.dialect.read_reply(head)
-        context.view.note_answer(record, traits.answered_by)
+        context.view.drop_if_replaced(record, traits.answered_by)
         if traits.not_run:
             await connection.rest(limit=1 << 20)
-            # It granted memory and does not take what was granted for, as
-            # while it changes its stage; asking again costs a prompt.
+            # It granted memory and then refused the request, for example
+            # because it changes its stage.  A retry there would waste
+            # another prefill.
             context.eject(record, context.standings)
             self._reason = f"refused with {head.status}"
-            active.note(StepKind.REFUSED, record.upstream, head.status)
+            active.add_step(StepKind.REFUSED, record.upstream, head.status)
             return False
         active.runs += 1
-        foreign = traits.request_id not in ("", active.call.request_id)
-        if foreign or not traits.genuine:
+        mismatched = traits.request_id not in ("", active.call.request_id)
+        if mismatched or not traits.genuine:
             self._reason = "not an answer to this request"
-            active.note(StepKind.ERROR, record.upstream, self._reason)
+            active.add_step(StepKind.ERROR, record.upstream, self._reason)
             connection.close()
             return False
         if head.status != 200:
-            return await self._pass_error(connection, head, record)
-        active.note(StepKind.STREAM, record.upstream)
+            return await self._forward_error(connection, head, record)
+        active.add_step(StepKind.STREAM, record.upstream)
         began_s = self._now_s
-        await self._relay.pass_events(
-            head, lambda: self._patiently(connection.chunk(), record)
+        await self._relay.forward_events(
+            head, lambda: self._wait_or_fail_over(connection.chunk(), record)
         )
         context.standings.answered(record.upstream, error=False)
-        context.crashes.completed(active)
-        self._measure(self._now_s - began_s)
+        context.crashes.note_completion(active)
+        self._record_memory_use(self._now_s - began_s)
         return True
 
-    def _measure(self, held_s):
-        """Note the memory that a whole stream held.
+    def _record_memory_use(self, duration_s):
+        """Record the memory that a complete stream held.
 
-        It grows by one event after the other, so half of the output counts.
+        It grows with each event, so on average half of the output counts.
         """
         active = self._active
         per_event = active.service.engine.tokens_per_event
         output = self._relay.events * per_event
         tokens = active.call.prompt_tokens + output / 2
-        self._context.meter(active.service.name).end(tokens, held_s)
+        self._context.meter(active.service.name).end(tokens, duration_s)
 
-    async def _pass_error(self, connection, head, record):
+    async def _forward_error(self, connection, head, record):
         body = await connection.rest()
         self._context.standings.answered(record.upstream, error=True)
-        self._context.crashes.completed(self._active)
-        self._active.note(StepKind.ERROR, record.upstream, head.status)
+        self._context.crashes.note_completion(self._active)
+        self._active.add_step(StepKind.ERROR, record.upstream, head.status)
         self._reason = f"resumed run failed with {head.status}"
-        return self._relay.pass_error(head, body)
+        return self._relay.forward_error(head, body)
+
+    async def _wait_or_fail_over(self, work, record):
+        """Wait for an engine, or fail over to another one if it is silent.
+
+        Fails over only if the stream may be resumed, another engine has
+        reserved memory for it and the retry budget allows it.
 
-    async def _patiently(self, work, record):
-        """Wait for an engine, not too long where another can go on."""
+        Raises
+        ------
+        SilentUpstreamError
+            If another engine is to resume the stream.
+        """
         active = self._active
         resumable = active.route.repeat is Repeat.RESUMABLE
         if not resumable or active.runs >= active.route.max_upstreams:
@@ -326,12 +344,13 @@
         try:
             while True:
                 await asyncio.wait(
-                    {task}, timeout=RESUME_SILENCE_PAUSES * self._pause_s
+                    {task},
+                    timeout=RESUME_SILENCE_PAUSES * self._pause_target_s,
                 )
                 if task.done():
                     return task.result()
-                self._held = await self._reserve_elsewhere(record)
-                if self._held is not None and not task.done():
+                self._next_reservation = await self._reserve_elsewhere(record)
+                if self._next_reservation is not None and not task.done():
                     raise SilentUpstreamError(
                         "no event", moment=Moment.BETWEEN_EVENTS
                     )
@@ -339,24 +358,26 @@
             task.cancel()
 
     async def _reserve_elsewhere(self, record):
-        reservation = await self._memory.find_now(but=record)
-        if reservation is None or self._may_repeat():
+        reservation = await self._reserver.reserve_once(excluding=record)
+        if reservation is None or self._use_retry_budget():
             return reservation
-        self._memory.release(reservation)
+        self._reserver.release(reservation)
         return None
 
-    def _note_broken(self, record, exc):
+    def _handle_lost_run(self, record, exc):
         active = self._active
         moment = self._relay.moment_of(exc)
         if reset_outcome(active.kind, moment).ran is not Ran.NO:
             active.runs = max(active.runs, 1)
-        self._relay.drop_rest()
+        self._relay.drop_partial_event()
         self._reason = str(exc)
         if isinstance(exc, BrokenAnswerError):
-            events = self._relay.events - self._events_before
-            self._context.crashes.lost(active, record, moment, events=events)
-        self._memory.avoid(record)
-        self._memory.note_unreachable(record, exc)
+            events = self._relay.events - self._events_before_run
+            self._context.crashes.note_lost_run(
+                active, record, moment, events=events
+            )
+        self._reserver.exclude(record)
+        self._reserver.note_unreachable(record, exc)
         _log.info(
             "stream-broken",
             request=active.call.request_id,
--- a/currantdeal/entry/hedging.py
+++ b/currantdeal/entry/hedging.py
@@ -1,48 +1,50 @@
-"""Asking several upstreams for one thing, the next beside a slow one.
+"""Hedged requests: asks the next upstream while a slow one is pending.
 
-An upstream that went dark refuses nothing: it is silent until a timeout.
-Asked one after the other, two of them take all the time in which an answer is
-of use, and a caller waits for them while others could serve it.  So the next
-upstream is asked when one has not answered within a few times its usual time;
-the first that grants wins, and what others grant later is given back.
+An unresponsive upstream does not refuse a request; it is silent until the
+timeout.  With sequential requests, two such upstreams use up the whole time in
+which an answer is useful, although others could serve the caller.  So the next
+upstream is asked if one has not answered within a few times its usual latency.
+The first grant is used, and later ones are released.
 """
 
 import asyncio
 
 
 class Hedge:
-    """Questions to upstreams of which one grant is enough.
+    """Requests to several upstreams of which one grant is needed.
 
     Parameters
     ----------
     delay_s : float
-        Time after which an upstream counts as slow.
-    give_back : callable
-        Takes a grant that is not needed.
+        Time without an answer after which an upstream counts as slow.
+    release_grant : callable
+        Releases a grant that is not needed.
     """
 
-    def __init__(self, *, delay_s, give_back):
-        """Ask nobody yet."""
+    def __init__(self, *, delay_s, release_grant):
+        """Start without pending requests."""
         self._delay_s = delay_s
-        self._give_back = give_back
-        self._asked = {}
+        self._release_grant = release_grant
+        self._pending = {}
 
-    def is_asking(self, upstream):
-        """Return whether an upstream still owes an answer."""
-        return upstream in self._asked.values()
+    def is_pending(self, upstream):
+        """Return whether a request to an upstream is pending."""
+        return upstream in self._pending.values()
 
-    async def ask(self, upstream, question):
-        """Ask and return the first grant of anybody; None if none came.
+    async def request(self, upstream, work):
+        """Send a request; returns the first grant of any pending one, or None.
+
+        Returns None if the upstream refuses or is slow, and no other grants.
 
         Parameters
         ----------
-        question : coroutine
-            Returns what is granted, or None.
+        work : coroutine
+            Sends the request; returns the grant, or None.
         """
-        task = asyncio.ensure_future(question)
-        self._asked[task] = upstream
+        task = asyncio.ensure_future(work)
+        self._pending[task] = upstream
         until_s = asyncio.get_running_loop().time() + self._delay_s
-        while task in self._asked:
+        while task in self._pending:
             left_s = until_s - asyncio.get_running_loop().time()
             if left_s <= 0.0:
                 return None
@@ -52,29 +54,29 @@
         return None
 
     async def wait(self, timeout_s):
-        """Wait for slow answers; returns the first grant, or None."""
-        if not self._asked:
+        """Wait for pending requests; returns the first grant, or None."""
+        if not self._pending:
             await asyncio.sleep(timeout_s)
             return None
         done, _ = await asyncio.wait(
-            self._asked,
+            self._pending,
             timeout=timeout_s,
             return_when=asyncio.FIRST_COMPLETED,
         )
         granted = None
         for task in done:
-            del self._asked[task]
-            found = task.result()
+            del self._pending[task]
+            result = task.result()
             if granted is None:
-                granted = found
-            elif found is not None:
-                self._give_back(found)
+                granted = result
+            elif result is not None:
+                self._release_grant(result)
         return granted
 
     async def drain(self):
-        """Wait for those who still owe an answer, and give it back."""
-        for task in tuple(self._asked):
+        """Wait for all pending requests and release what they are granted."""
+        for task in tuple(self._pending):
             granted = await task
             if granted is not None:
-                self._give_back(granted)
-        self._asked.clear()
+                self._release_grant(granted)
+        self._pending.clear()
--- a/currantdeal/entry/memory.py
+++ b/currantdeal/entry/memory.py
@@ -1,4 +1,8 @@
-"""Reserving memory at decode engines for one generation."""
+"""Reserves KV cache memory at a decode engine for one generation.
+
+Engines are asked in the order of ``currantdeal.policy.decode_memory``.  One
+that does not answer soon is hedged with the next one, see ``Hedge``.
+"""
 
 from dataclasses import dataclass
 
@@ -6,7 +10,7 @@
 
 from currantdeal.core.errors import DialectError
 from currantdeal.entry.hedging import Hedge
-from currantdeal.entry.prefill import expects_own_prompt
+from currantdeal.entry.prefill import expects_local_prefill
 from currantdeal.entry.releases import release
 from currantdeal.node.connection_pool import exchange
 from currantdeal.node.errors import ExchangeError
@@ -18,30 +22,41 @@
 from currantdeal.registry import Stage, UpstreamRecord
 
 RESERVE_PAUSE_S = 0.05
-"""Pause between two rounds of asking all engines for memory."""
+"""Pause between two rounds of reservation requests to all engines."""
 
 RESERVE_TIMEOUT_S = 0.4
+"""Time in which an engine must answer a reservation request."""
 
 HEDGE_S = 0.1
-"""Delay after which the next engine is asked beside one that is slow."""
+"""Delay after which the next engine is asked while a slow one is pending."""
 
-LATE_PAUSE_S = 0.1
-"""The same pause for a retrying caller."""
+RETRYING_CALLER_PAUSE_S = 0.1
+"""Pause between two such rounds for a retrying caller."""
 
 _log = structlog.get_logger(__name__)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Reservation:
-    """Memory that an engine keeps for a generation."""
+    """Memory that a decode engine has reserved for a generation.
+
+    Parameters
+    ----------
+    record : UpstreamRecord
+        The engine.
+    tokens : int
+        Size of the reservation, in tokens.
+    number : str
+        Identifies the reservation at the engine.
+    """
 
     record: UpstreamRecord
     tokens: int
     number: str
 
 
-class MemorySeeker:
-    """Finds an engine with room for one generation.
+class MemoryReserver:
+    """Reserves memory for one generation.
 
     Parameters
     ----------
@@ -52,33 +67,38 @@
     """
 
     def __init__(self, *, context, active):
-        """Ask nobody yet."""
+        """Compute the size of the reservation; sends no request."""
         self._context = context
         self._active = active
-        self._avoid = set()
+        self._excluded = set()
         self._tokens = _tokens(active)
 
     @property
     def _now_s(self):
         return self._context.now_s
 
-    def avoid(self, record):
-        """Never ask an engine again that broke this generation off."""
-        self._avoid.add(record.upstream)
+    def exclude(self, record):
+        """Exclude an engine whose connection to this generation was lost."""
+        self._excluded.add(record.upstream)
 
-    async def find(self, until_s, *, full=FULL):
-        """Return a reservation, or None if there is no room until a time.
+    async def reserve(self, until_s, *, full=FULL):
+        """Reserve memory; returns None if none is free until a time.
 
         Parameters
         ----------
+        until_s : float
+            Loop time at which to stop trying.
         full : float
-            Share of an engine's memory up to which it counts as having room.
+            Share of an engine's memory that may be claimed in all; lower
+            for retrying callers.
         """
-        pause_s = RESERVE_PAUSE_S if full >= FULL else LATE_PAUSE_S
-        hedge = Hedge(delay_s=HEDGE_S, give_back=self.release)
+        pause_s = RESERVE_PAUSE_S if full >= FULL else RETRYING_CALLER_PAUSE_S
+        hedge = Hedge(delay_s=HEDGE_S, release_grant=self.release)
         try:
             while True:
-                granted = await self._ask_all(hedge, self._engines(full))
+                granted = await self._reserve_at_any(
+                    hedge, self._engines(full)
+                )
                 if granted is None and self._now_s + pause_s <= until_s:
                     granted = await hedge.wait(pause_s)
                 elif granted is None:
@@ -88,49 +108,57 @@
         finally:
             self._context.in_background(hedge.drain())
 
-    async def find_now(self, *, but):
-        """Ask each engine once, all but one; returns a reservation or None."""
-        records = [r for r in self._engines() if r.upstream != but.upstream]
-        hedge = Hedge(delay_s=HEDGE_S, give_back=self.release)
+    async def reserve_once(self, *, excluding):
+        """Request memory once from each engine except one.
+
+        Returns a ``Reservation`` or None.
+        """
+        records = [
+            r for r in self._engines() if r.upstream != excluding.upstream
+        ]
+        hedge = Hedge(delay_s=HEDGE_S, release_grant=self.release)
         try:
-            return await self._ask_all(hedge, records)
+            return await self._reserve_at_any(hedge, records)
         finally:
             self._context.in_background(hedge.drain())
 
-    async def _ask_all(self, hedge, records):
+    async def _reserve_at_any(self, hedge, records):
         if not records:
-            self._active.search.without_room += 1
+            self._active.search.rounds_without_room += 1
         for record in records:
-            if hedge.is_asking(record.upstream):
+            if hedge.is_pending(record.upstream):
                 continue
-            granted = await hedge.ask(record.upstream, self._ask(record))
+            granted = await hedge.request(
+                record.upstream, self._reserve_at(record)
+            )
             if granted is not None:
                 return granted
-            if hedge.is_asking(record.upstream):
-                # Other requests of this entry ask it last for a while.
+            if hedge.is_pending(record.upstream):
+                # It is slow.  For a while, other requests of this entry ask
+                # it last.
                 self._context.memory.refused(
                     record.upstream, now_s=self._now_s
                 )
         return None
 
     def release(self, reservation):
-        """Give a reservation back that is not used."""
+        """Release an unused reservation."""
         call = self._context.dialect.release_reservation(
             reservation.record.address, reservation.number
         )
         release(self._context, reservation.record.address, call)
 
     def note_unreachable(self, record, exc):
-        """Leave an engine alone that cannot be reached or broke off."""
+        """Eject an engine that is unreachable or lost its connection."""
         context = self._context
         context.eject(record, context.standings)
         context.pool.forget(record.address)
-        self._active.note_failure(record.upstream, exc)
+        self._active.add_failure_step(record.upstream, exc)
 
-    async def _ask(self, record):
+    async def _reserve_at(self, record):
         context = self._context
         engine = self._active.service.engine
-        self._active.search.asked += 1
+        self._active.search.requested += 1
         call = context.dialect.reserve(
             record.address,
             tokens=self._tokens,
@@ -149,11 +177,11 @@
             self.note_unreachable(record, exc)
             return None
         traits = context.dialect.read_reply(head)
-        context.view.note_answer(record, traits.answered_by)
-        takes_work = context.view.takes_work(record.upstream)
+        context.view.drop_if_replaced(record, traits.answered_by)
+        accepts_work = context.view.accepts_work(record.upstream)
         if head.status != 200:
             self._active.search.refused += 1
-            if takes_work:
+            if accepts_work:
                 context.memory.refused(record.upstream, now_s=self._now_s)
             return None
         try:
@@ -164,19 +192,27 @@
         reservation = Reservation(
             record=record, tokens=self._tokens, number=number
         )
-        if not takes_work:
-            # Withdrawn while it answered; its last streams need the memory.
+        if not accepts_work:
+            # The engine was withdrawn while it answered; its remaining
+            # streams need the memory.
             self.release(reservation)
             return None
         return reservation
 
-    def _delaying_engines(self, names):
-        """Return the engines that prefill a prompt which delays this one."""
+    def _prefilling_engines(self, names):
+        """Return the engines whose current prefill would delay this prompt.
+
+        There is no delay if a prefill engine can take the prompt.
+        """
         context = self._context
         now_s = self._now_s
-        found = {n for n in names if context.turns.is_reading(n, now_s=now_s)}
-        if found and expects_own_prompt(context, self._active):
-            return found
+        prefilling = {
+            n
+            for n in names
+            if context.local_prefills.is_reading(n, now_s=now_s)
+        }
+        if prefilling and expects_local_prefill(context, self._active):
+            return prefilling
         return frozenset()
 
     def _engines(self, full=FULL):
@@ -184,7 +220,7 @@
         records = {
             record.upstream: record
             for record in view.engines(self._active.service.name, Stage.DECODE)
-            if record.upstream not in self._avoid
+            if record.upstream not in self._excluded
             and not context.standings.is_out(
                 record.upstream, now_s=self._now_s
             )
@@ -197,7 +233,7 @@
             random=context.random,
             now_s=self._now_s,
             full=full,
-            reading=self._delaying_engines(records).__contains__,
+            reading=self._prefilling_engines(records).__contains__,
             connected=lambda name: context.pool.is_connected(
                 records[name].address
             ),
--- a/currantdeal/entry/plain.py
+++ b/currantdeal/entry/plain.py
@@ -1,7 +1,7 @@
-"""Calls to plain services.
+"""Handles calls that are not generations.
 
-The answer is taken whole before any of it is passed on.  A broken answer can
-then still be replaced by another upstream's, where the call may be repeated.
+An answer is read completely before it is forwarded.  If it is cut short and
+the call may be repeated, another upstream can still answer.
 """
 
 import asyncio
@@ -29,57 +29,57 @@
 from currantdeal.policy.standing import in_order
 from currantdeal.routing import Repeat
 
-FIRST_TRY_SHARE = 0.5
-"""Share of the time left that the first of two tries may take.
+FIRST_ATTEMPT_SHARE = 0.5
+"""Share of the time left that the first of two attempts may take.
 
-Half leaves a second upstream as much as the first one had; a try that takes
-so long has missed its target anyway.
+Half leaves the second upstream as much time as the first one had; an attempt
+that takes so long has missed its target anyway.
 """
 
-MAX_TRIES = 4
-"""Upstreams that are asked for one request at most, refusals included."""
+MAX_ATTEMPTS = 4
+"""Maximum number of upstreams tried for one request, including refusals."""
 
 MAX_ANSWER_BYTES = 8_388_608
-"""Largest answer that is taken whole."""
+"""Largest answer that is buffered."""
 
 _log = structlog.get_logger(__name__)
 
 
 async def serve_plain(context, active):
-    """Find an upstream that answers, and pass its answer on.
+    """Send a call to an upstream and forward its answer to the caller.
 
     Raises
     ------
     RefusedError
-        If no upstream took the call.
+        If no upstream accepted the call.
     FailedError
-        If one may have run it and gave no answer.
+        If an upstream may have run it and there is no answer.
     """
-    tried = set()
+    attempted = set()
     last = None
-    while len(tried) < MAX_TRIES:
-        record = _next_upstream(context, active, tried)
+    while len(attempted) < MAX_ATTEMPTS:
+        record = _next_upstream(context, active, attempted)
         if record is None or not context.crashes.may_send(active):
             break
-        if tried and not context.may_repeat(active.service.name):
-            active.note(StepKind.NO_BUDGET)
+        if attempted and not context.use_retry_budget(active.service.name):
+            active.add_step(StepKind.NO_BUDGET)
             break
-        tried.add(record.upstream)
-        answer = await _try(context, active, record)
+        attempted.add(record.upstream)
+        answer = await _attempt(context, active, record)
         if answer.final:
-            _pass_on(context, active, answer)
+            _forward(context, active, answer)
             return
         last = answer if answer.head is not None else last
-        if not _may_go_on(active, answer):
+        if not _may_retry(active, answer):
             break
-    _give_up(context, active, last)
+    _end_without_answer(context, active, last)
 
 
-class _Answer:
-    """The outcome of one try.
+class _AttemptResult:
+    """The outcome of one attempt.
 
-    ``final`` tells that it goes to the caller as it is, ``repeatable`` that
-    another upstream may be asked; ``head`` is None where there is no whole
+    ``final`` is true if the answer is forwarded to the caller, ``repeatable``
+    if another upstream may be tried; ``head`` is None without a complete
     answer.
     """
 
@@ -90,11 +90,11 @@
         self.final = final
 
 
-def _next_upstream(context, active, tried):
+def _next_upstream(context, active, attempted):
     ready = [
         record
         for record in context.view.ready(active.service.name)
-        if record.upstream not in tried
+        if record.upstream not in attempted
     ]
     ordered = in_order(
         ready,
@@ -106,20 +106,20 @@
     return ordered[0] if ordered else None
 
 
-def _may_go_on(active, answer):
-    left = active.runs == 0 or active.runs < active.route.max_upstreams
-    return answer.repeatable and left
+def _may_retry(active, answer):
+    runs_left = active.runs == 0 or active.runs < active.route.max_upstreams
+    return answer.repeatable and runs_left
 
 
-def _patience_s(active, now_s):
+def _attempt_timeout_s(active, now_s):
     left_s = active.time_left_s(now_s)
     repeatable = active.route.repeat is Repeat.FREELY
     if repeatable and active.runs + 1 < active.route.max_upstreams:
-        return FIRST_TRY_SHARE * left_s
+        return FIRST_ATTEMPT_SHARE * left_s
     return left_s
 
 
-async def _try(context, active, record):
+async def _attempt(context, active, record):
     now_s = context.now_s
     directions = Directions(
         upstream=record.upstream, time_left_s=active.time_left_s(now_s)
@@ -133,20 +133,20 @@
             context.pool,
             record.address,
             outgoing,
-            timeout_s=_patience_s(active, now_s),
+            timeout_s=_attempt_timeout_s(active, now_s),
             limit=MAX_ANSWER_BYTES,
         )
     except ExchangeError as exc:
-        return _note_failure(context, active, record, exc)
+        return _record_failure(context, active, record, exc)
     except asyncio.CancelledError:
         active.runs += 1
         raise
     finally:
         context.standings.ended(record.upstream)
-    return _judge(context, active, record, head, body)
+    return _handle_answer(context, active, record, head, body)
 
 
-def _note_failure(context, active, record, exc):
+def _record_failure(context, active, record, exc):
     outcome = reset_outcome(active.kind, exc.moment)
     if outcome.ran is not Ran.NO:
         active.runs += 1
@@ -157,14 +157,14 @@
     else:
         context.standings.answered(record.upstream, error=True)
     if isinstance(exc, BrokenAnswerError):
-        context.crashes.lost(active, record, exc.moment)
-    active.note_failure(record.upstream, exc)
-    return _Answer(repeatable=outcome.by_entry)
+        context.crashes.note_lost_run(active, record, exc.moment)
+    active.add_failure_step(record.upstream, exc)
+    return _AttemptResult(repeatable=outcome.by_entry)
 
 
-def _judge(context, active, record, head, body):
+def _handle_answer(context, active, record, head, body):
     traits = context.dialect.read_reply(head)
-    context.view.note_answer(record, traits.answered_by)
+    context.view.drop_if_replaced(record, traits.answered_by)
     if traits.load is not None:
         context.standings.reported(
             record.upstream,
@@ -173,37 +173,37 @@
         )
     if traits.not_run:
         context.standings.answered(record.upstream, error=False)
-        active.note(StepKind.REFUSED, record.upstream, head.status)
-        return _Answer(repeatable=True)
+        active.add_step(StepKind.REFUSED, record.upstream, head.status)
+        return _AttemptResult(repeatable=True)
     active.runs += 1
     repeatable = active.route.repeat is Repeat.FREELY
-    foreign = traits.request_id not in ("", active.call.request_id)
-    if foreign or not traits.genuine:
+    mismatched = traits.request_id not in ("", active.call.request_id)
+    if mismatched or not traits.genuine:
         context.standings.answered(record.upstream, error=True)
-        active.note(StepKind.ERROR, record.upstream, "not its answer")
-        return _Answer(repeatable=repeatable)
-    context.crashes.completed(active)
+        active.add_step(StepKind.ERROR, record.upstream, "not its answer")
+        return _AttemptResult(repeatable=repeatable)
+    context.crashes.note_completion(active)
     error = head.status >= 500
     context.standings.answered(record.upstream, error=error)
-    active.note(
+    active.add_step(
         StepKind.ERROR if error else StepKind.ANSWER,
         record.upstream,
         head.status,
     )
-    return _Answer(
+    return _AttemptResult(
         repeatable=repeatable, head=head, body=body, final=not error
     )
 
 
-def _pass_on(context, active, answer):
+def _forward(context, active, answer):
     headers = context.dialect.reply_headers(answer.head)
     active.note_output(context.now_s)
     active.responder.answer(answer.head.status, headers, answer.body)
 
 
-def _give_up(context, active, last):
+def _end_without_answer(context, active, last):
     if last is not None:
-        _pass_on(context, active, last)
+        _forward(context, active, last)
         return
     if active.runs == 0 and context.crashes.is_quarantined(active):
         raise QuarantinedError(shown(active.fingerprint))
--- a/currantdeal/entry/prefill.py
+++ b/currantdeal/entry/prefill.py
@@ -1,10 +1,15 @@
-"""Prefill of a generation, at a prefill engine or locally."""
+"""Prefills the prompt of a generation, at a prefill engine or locally.
+
+Local prefill is done by the decode engine that generates the output.  It
+pauses the other streams of that engine, so it is used only where
+``currantdeal.policy.prompt_reader`` allows it.
+"""
 
 import asyncio
 from dataclasses import dataclass
 
 from currantdeal.core.errors import DialectError
-from currantdeal.entry.errors import PromptNotReadError
+from currantdeal.entry.errors import PrefillFailedError
 from currantdeal.entry.releases import release
 from currantdeal.entry.steps import StepKind, kind_of_failure
 from currantdeal.node.connection_pool import exchange
@@ -19,103 +24,113 @@
 from currantdeal.registry import Stage, UpstreamRecord
 
 MAX_PREFILL_ENGINES = 2
-"""Prefill engines that are asked for one prompt at most."""
+"""Maximum number of prefill engines to which one prompt is sent."""
 
-LONGEST_TURN_WAIT_S = 0.8
-"""Longest wait for other prompts that a decode engine prefills."""
+LOCAL_PREFILL_MAX_WAIT_S = 0.8
+"""Longest wait for other prompts that a decode engine prefills locally."""
 
-AFTER_PROMPT_S = 0.2
-"""Time from a prefilled prompt to the first event at the caller: KV cache
+FIRST_EVENT_DELAY_S = 0.2
+"""Time from the end of a prefill to the first event at the caller: KV cache
 transfer and first tokens."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Prefill:
-    """A KV cache that waits at a prefill engine.
+    """A KV cache that is held at a prefill engine.
 
     Parameters
     ----------
-    read_s : float
-        Loop time at which the prompt was read.
+    record : UpstreamRecord
+        The prefill engine.
+    handle : str
+        Identifies the KV cache at that engine.
+    completed_s : float
+        Loop time at which the prefill ended.
     """
 
     record: UpstreamRecord
     handle: str
-    read_s: float
+    completed_s: float
 
     @property
     def source(self):
-        """Where a decode engine fetches it."""
+        """Address and handle from which a decode engine fetches it."""
         return f"{self.record.address}/{self.handle}"
 
 
-async def read_prompt(context, active, near, *, in_time):
-    """Have the prompt read; None where the decode engine must do it.
+async def prefill_prompt(context, active, decode_engine, *, in_time):
+    """Prefill a prompt; returns None for local prefill at the decode engine.
 
-    An engine that did not take the prompt is followed by another one.  One
-    that may be reading it is not: the prompt would be read twice.
+    If a prefill engine did not accept the prompt, another one is tried.  If
+    it may be running the prefill, none is: the prompt would be prefilled
+    twice.
 
     Parameters
     ----------
-    near : UpstreamRecord
+    decode_engine : UpstreamRecord
         The decode engine that will fetch the KV cache.
     in_time : bool
         Whether the first event can still be in time.
     """
-    for asked in range(MAX_PREFILL_ENGINES):
-        found = _estimates(context, active, near)
-        if _reads_itself(context, active, found, in_time, near):
+    for attempt in range(MAX_PREFILL_ENGINES):
+        estimates = _estimates(context, active, decode_engine)
+        if _prefills_locally(
+            context, active, estimates, in_time, decode_engine
+        ):
             break
-        if asked and not context.may_repeat(active.service.name):
-            active.note(StepKind.NO_BUDGET)
+        if attempt and not context.use_retry_budget(active.service.name):
+            active.add_step(StepKind.NO_BUDGET)
             break
         try:
-            return await _read_at(context, active, found[0], in_time)
-        except PromptNotReadError as exc:
-            if exc.taken:
+            return await _prefill_at(context, active, estimates[0], in_time)
+        except PrefillFailedError as exc:
+            if exc.maybe_running:
                 break
     if not context.crashes.may_send(active):
         return None
-    await _take_turn(context, active, near)
-    active.note(StepKind.OWN_PROMPT, near.upstream)
+    await _wait_for_local_prefills(context, active, decode_engine)
+    active.add_step(StepKind.LOCAL_PREFILL, decode_engine.upstream)
     return None
 
 
-def expects_own_prompt(context, active):
-    """Return whether a decode engine would have to read the prompt now."""
-    found = _estimates(context, active)
-    return _reads_itself(context, active, found, True)
+def expects_local_prefill(context, active):
+    """Return whether the prompt would be prefilled locally now."""
+    estimates = _estimates(context, active)
+    return _prefills_locally(context, active, estimates, True)
 
 
-async def _take_turn(context, active, near):
-    """Wait until a decode engine reads no other prompt.
+async def _wait_for_local_prefills(context, active, decode_engine):
+    """Wait for the other local prefills of a decode engine.
 
-    The others are told before the wait, so that they queue behind it.  The
-    wait is bounded, since a reservation ends.
+    The prefill is announced to the other entries before the wait, so that
+    theirs queue behind it.  The wait is bounded, since a reservation
+    expires.
     """
-    wait_s = context.turns.free_in_s(near.upstream, now_s=context.now_s)
+    wait_s = context.local_prefills.free_in_s(
+        decode_engine.upstream, now_s=context.now_s
+    )
     meter = context.meter(active.service.name)
-    context.begin_reading(
-        near.upstream,
+    context.begin_local_prefill(
+        decode_engine.upstream,
         own_reading_s(active.call.prompt_tokens, meter.s_per_token),
     )
-    await asyncio.sleep(min(wait_s, LONGEST_TURN_WAIT_S))
+    await asyncio.sleep(min(wait_s, LOCAL_PREFILL_MAX_WAIT_S))
 
 
-def free_prompt(context, prefill):
-    """Free a KV cache that nobody will fetch."""
+def release_kv_cache(context, prefill):
+    """Release a KV cache that no decode engine will fetch."""
     call = context.dialect.release_prefill(
         prefill.record.address, prefill.handle
     )
     release(context, prefill.record.address, call)
 
 
-def _estimates(context, active, near=None):
-    """Return the estimates of prefill engines in the order to ask them.
+def _estimates(context, active, decode_engine=None):
+    """Return the estimates for prefill engines, in the order to try them.
 
     Parameters
     ----------
-    near : UpstreamRecord or None
+    decode_engine : UpstreamRecord or None
         The decode engine that will fetch the KV cache, if it is known.
     """
     now_s = context.now_s
@@ -123,14 +138,16 @@
     records = {
         record.upstream: record
         for record in context.view.engines(service, Stage.PREFILL)
-        if not context.prefills.is_out(record.upstream, now_s=now_s)
+        if not context.prefill_standings.is_out(record.upstream, now_s=now_s)
     }
     return estimate_prefill(
         records,
         tokens=active.call.prompt_tokens,
         backlog=lambda name: context.load.tokens(name, now_s=now_s),
         distance=lambda name: (
-            context.view.distance_between(records[name], near) if near else 0
+            context.view.distance_between(records[name], decode_engine)
+            if decode_engine
+            else 0
         ),
         random=context.random,
         suspect=lambda name: context.load.is_suspect(name, now_s=now_s),
@@ -142,71 +159,79 @@
     )
 
 
-def _reads_itself(context, active, found, in_time, near=None):
+def _prefills_locally(context, active, estimates, in_time, decode_engine=None):
     """Return whether the decode engine is to prefill the prompt.
 
-    The shortest queue of all counts: as long as some engine is idle, the pool
-    has enough of them.
+    The estimate with the shortest queue decides, not the first in order: if
+    any prefill engine is idle, the pool has enough capacity.
     """
-    best = min(found, key=lambda e: e.expected_s, default=None)
-    turn_s = 0.0
-    if near is not None:
-        turn_s = context.turns.free_in_s(near.upstream, now_s=context.now_s)
+    best = min(estimates, key=lambda e: e.expected_s, default=None)
+    local_wait_s = 0.0
+    if decode_engine is not None:
+        local_wait_s = context.local_prefills.free_in_s(
+            decode_engine.upstream, now_s=context.now_s
+        )
     return decode_engine_reads(
         best,
         tokens=active.call.prompt_tokens,
         s_per_token=context.meter(active.service.name).s_per_token,
-        time_left_s=_time_left_s(context, active, in_time) - turn_s,
+        time_left_s=_time_left_s(context, active, in_time) - local_wait_s,
         pause_target_s=active.route.pause_target_s,
     )
 
 
 def _time_left_s(context, active, in_time):
-    """Return the time in which a prompt must be read for a timely event."""
+    """Return the time left to prefill a prompt for a timely first event."""
     if not in_time:
         return 0.0
     waited_s = context.now_s - active.request.arrived_s
-    return active.route.target_s - waited_s - AFTER_PROMPT_S
+    return active.route.target_s - waited_s - FIRST_EVENT_DELAY_S
 
 
-async def _read_at(context, active, best, in_time):
-    """Have a prefill engine read the prompt and return its ``Prefill``."""
+async def _prefill_at(context, active, best, in_time):
+    """Prefill the prompt at a prefill engine; returns its ``Prefill``."""
     record = context.view.record(best.upstream)
     began_s = context.now_s
     context.load.began(record.upstream, active.call.prompt_tokens)
     try:
-        head, body = await _ask(context, active, record, best, in_time)
+        head, body = await _request_prefill(
+            context, active, record, best, in_time
+        )
     except ExchangeError as exc:
-        _note_not_read(context, record, exc, began_s)
+        _handle_failed_prefill(context, record, exc, began_s)
         if isinstance(exc, BrokenAnswerError):
-            context.crashes.lost(active, record, exc.moment)
-        active.note_failure(record.upstream, exc)
-        raise PromptNotReadError(str(exc), taken=exc.sent) from exc
+            context.crashes.note_lost_run(active, record, exc.moment)
+        active.add_failure_step(record.upstream, exc)
+        raise PrefillFailedError(str(exc), maybe_running=exc.sent) from exc
     finally:
         context.load.ended(record.upstream, active.call.prompt_tokens)
-    prefill = _read_answer(context, active, record, head, body)
-    _measure(context, active, context.now_s - began_s)
-    active.note(StepKind.PROMPT, record.upstream)
+    prefill = _parse_answer(context, active, record, head, body)
+    _record_prefill_time(context, active, context.now_s - began_s)
+    active.add_step(StepKind.PROMPT, record.upstream)
     return prefill
 
 
-def _note_not_read(context, record, exc, since_s):
-    """Leave a prefill engine alone that takes no connection.
+def _handle_failed_prefill(context, record, exc, since_s):
+    """Eject a prefill engine if it accepts no connection.
 
-    One that times out may be only busy, or its answer was lost; ejected for
-    that, it would leave every prompt to decode engines.  If it has prefilled
-    no other prompt meanwhile, its kept connections are closed, and other
-    entries hear of it: each meets an engine too rarely to tell by itself.
+    One that times out may only be busy, or its answer was lost.  Ejecting it
+    for that could leave all prompts to the decode engines.  If it has
+    prefilled no other prompt since the request was sent, its idle
+    connections are closed and the timeout is reported to the other entries:
+    a single entry uses an engine too rarely to detect that it is
+    unresponsive.
     """
     kind = kind_of_failure(exc)
     if kind is StepKind.UNREACHABLE:
-        context.eject(record, context.prefills)
-    elif context.prefills.answered_s(record.upstream) <= since_s:
+        context.eject(record, context.prefill_standings)
+    elif context.prefill_standings.answered_s(record.upstream) <= since_s:
         context.pool.forget(record.address)
-        context.prefills.timed_out(record.upstream, now_s=context.now_s)
+        context.prefill_standings.timed_out(
+            record.upstream, now_s=context.now_s
+        )
 
 
-async def _ask(context, active, record, best, in_time):
+async def _request_prefill(context, active, record, best, in_time):
     patience_s = prompt_patience_s(
         best,
         tokens=active.call.prompt_tokens,
@@ -227,28 +252,29 @@
     )
 
 
-def _read_answer(context, active, record, head, body):
+def _parse_answer(context, active, record, head, body):
     traits = context.dialect.read_reply(head)
-    context.view.note_answer(record, traits.answered_by)
+    context.view.drop_if_replaced(record, traits.answered_by)
     if head.status != 200:
-        # It changes its stage or leaves; asking again brings the same.
-        context.eject(record, context.prefills)
-        active.note(StepKind.REFUSED, record.upstream, head.status)
-        raise PromptNotReadError(
-            f"refused with {head.status}", taken=not traits.not_run
+        # It is changing its stage or leaving; a retry would be refused
+        # again.
+        context.eject(record, context.prefill_standings)
+        active.add_step(StepKind.REFUSED, record.upstream, head.status)
+        raise PrefillFailedError(
+            f"refused with {head.status}", maybe_running=not traits.not_run
         )
-    context.prefills.answered(
+    context.prefill_standings.answered(
         record.upstream, error=False, now_s=context.now_s
     )
     try:
         handle = context.dialect.read_prefill(body)
     except DialectError as exc:
-        active.note(StepKind.ERROR, record.upstream, exc)
-        raise PromptNotReadError(str(exc), taken=True) from exc
-    return Prefill(record=record, handle=handle, read_s=context.now_s)
+        active.add_step(StepKind.ERROR, record.upstream, exc)
+        raise PrefillFailedError(str(exc), maybe_running=True) from exc
+    return Prefill(record=record, handle=handle, completed_s=context.now_s)
 
 
-def _measure(context, active, took_s):
+def _record_prefill_time(context, active, took_s):
     meter = context.meter(active.service.name)
     meter.read(active.call.prompt_tokens, took_s)
     context.metrics.observe("prefill_seconds", took_s)
--- a/currantdeal/entry/probing.py
+++ b/currantdeal/entry/probing.py
@@ -1,8 +1,9 @@
-"""Health checks of ejected upstreams.
+"""Probes ejected upstreams with health checks.
 
-An ejected upstream stays out until it answers a health check, so that no
-request of a caller is lost to find out.  The answer also tells whether another
-process has taken the address, whose reservations are granted and then refused.
+An ejected upstream stays ejected until it answers a health check, so that no
+caller's request is lost as a probe.  The answer also shows whether another
+process has taken over the address: that process grants reservations and then
+refuses the requests for which they were made.
 """
 
 import asyncio
@@ -18,7 +19,8 @@
 FIRST_PROBE_S = 0.05
 """Pause before the first health check.
 
-An upstream that merely lost a connection or an answer is back at once.
+It is short, so that an upstream that only lost a connection or an answer is
+used again at once.
 """
 
 _log = structlog.get_logger(__name__)
@@ -30,9 +32,9 @@
     Parameters
     ----------
     view : EntryView
-        Tells which upstreams take work, and how to check their health.
+        Upstreams that accept work, and their health check paths.
     pool : ConnectionPool
-        Connections to them.
+        Connections to upstreams.
     dialect : currantdeal.node.dialect.UpstreamDialect
         Format of health checks.
     in_background : callable
@@ -40,12 +42,12 @@
     """
 
     def __init__(self, *, view, pool, dialect, in_background):
-        """Watch nobody yet."""
+        """Start without ejected upstreams."""
         self._view = view
         self._pool = pool
         self._dialect = dialect
         self._in_background = in_background
-        self._watched = set()
+        self._probed = set()
 
     def eject(self, record, standings):
         """Eject an upstream until it answers a health check.
@@ -53,30 +55,30 @@
         Parameters
         ----------
         standings : Standings
-            Those in which it is out.
+            The standings in which it is ejected.
         """
         now_s = asyncio.get_running_loop().time()
         pause_s = standings.unreachable(
             record.upstream, now_s=now_s, grace_s=PROBE_TIMEOUT_S
         )
         key = (record.upstream, standings)
-        if key not in self._watched:
-            self._watched.add(key)
+        if key not in self._probed:
+            self._probed.add(key)
             _log.info("upstream-out", upstream=record.upstream, pause=pause_s)
-            self._in_background(self._watch(record, standings))
+            self._in_background(self._probe(record, standings))
 
-    async def _watch(self, record, standings):
+    async def _probe(self, record, standings):
         name = record.upstream
         pause_s = FIRST_PROBE_S
         try:
             while True:
                 await asyncio.sleep(pause_s)
                 now_s = asyncio.get_running_loop().time()
-                if not self._view.takes_work(name):
+                if not self._view.accepts_work(name):
                     return
                 if not standings.is_out(name, now_s=now_s):
                     return
-                if await self._answers(record):
+                if await self._answers_health_check(record):
                     standings.reachable(name)
                     _log.info("upstream-back", upstream=name)
                     return
@@ -86,12 +88,12 @@
                     grace_s=PROBE_TIMEOUT_S,
                 )
         finally:
-            self._watched.discard((name, standings))
+            self._probed.discard((name, standings))
 
-    async def _answers(self, record):
+    async def _answers_health_check(self, record):
         path = self._view.health_path(record.service)
         if path is None:
-            # No route leads to the service any more.
+            # The configuration no longer has this service.
             return False
         call = self._dialect.check_health(record.address, path)
         try:
@@ -103,9 +105,9 @@
                 harmless=True,
             )
         except ExchangeError:
-            # Its pause grows; the change of belief was logged by who found
-            # it unreachable.
+            # The backoff grows.  The failure was logged when the upstream
+            # was ejected.
             return False
         traits = self._dialect.read_reply(head)
-        self._view.note_answer(record, traits.answered_by)
+        self._view.drop_if_replaced(record, traits.answered_by)
         return True
--- a/currantdeal/entry/relay.py
+++ b/currantdeal/entry/relay.py
@@ -1,14 +1,14 @@
-"""Passing the events of a generation on to its caller, over several runs."""
+"""Forwards the events of a generation to its caller, over several runs."""
 
 from currantdeal.entry.events import EventSplitter
 from currantdeal.policy.reset_outcome import Moment
 
 
 class EventRelay:
-    """One answer to a caller, made of the events of one run or more.
+    """One answer to a caller, made of the events of one or more runs.
 
-    Only whole events are passed on, so that the run which goes on after a
-    broken one never joins its events to a part of another.
+    Only complete events are forwarded, so that the events of a run that
+    resumes a lost one are never appended to a partial event.
 
     Parameters
     ----------
@@ -19,81 +19,81 @@
     """
 
     def __init__(self, *, context, active):
-        """Pass nothing on yet."""
+        """Start before the first event."""
         self._context = context
         self._active = active
-        self._begun = False
+        self._started = False
         self._splitter = EventSplitter()
 
     @property
-    def begun(self):
-        """Whether the caller has a part of the answer."""
-        return self._begun
+    def started(self):
+        """Whether a part of the answer was sent to the caller."""
+        return self._started
 
     @property
     def last_id(self):
-        """Id of the last event that was passed on; empty before the first."""
+        """Id of the last event that was forwarded; empty before the first."""
         return self._splitter.last_id
 
     @property
     def events(self):
-        """Number of whole events so far."""
+        """Number of complete events so far."""
         return self._splitter.count
 
-    async def pass_events(self, head, next_chunk):
-        """Pass events on until the end of a run.
+    async def forward_events(self, head, next_chunk):
+        """Forward events until the end of a run.
 
         Parameters
         ----------
         head : ReplyHead
-            Of the run's answer.
+            Head of the run's answer.
         next_chunk : callable
             Coroutine function that returns bytes, or None at the end.
         """
         while (data := await next_chunk()) is not None:
-            whole = self._splitter.take(data)
-            if whole:
-                await self._send(head, whole)
-        if self._splitter.rest:
-            await self._send(head, self._splitter.rest)
-        if not self._begun:
+            complete = self._splitter.feed(data)
+            if complete:
+                await self._send(head, complete)
+        if self._splitter.partial_event:
+            await self._send(head, self._splitter.partial_event)
+        if not self._started:
             self._begin(head)
         self._active.responder.finish()
 
-    def pass_error(self, head, body):
-        """Pass an error on; returns False if the answer has begun already."""
-        if self._begun:
+    def forward_error(self, head, body):
+        """Forward an error; returns False if the answer has started."""
+        if self._started:
             return False
         headers = self._context.dialect.reply_headers(head)
         self._active.responder.answer(head.status, headers, body)
-        self._begun = True
+        self._started = True
         return True
 
     def moment_of(self, exc):
-        """Return how far the answer had come when a run was lost.
+        """Return the ``Moment`` of the answer at which a run was lost.
 
         Parameters
         ----------
         exc : ExchangeError
-            How it was lost.
+            The failure of the run.
         """
-        if not self._begun:
+        if not self._started:
             return exc.moment
-        if self._splitter.rest:
+        if self._splitter.partial_event:
             return Moment.WITHIN_EVENT
         return Moment.BETWEEN_EVENTS
 
-    def drop_rest(self):
-        """Forget an event that its run did not finish."""
-        self._splitter.drop_rest()
+    def drop_partial_event(self):
+        """Discard an event that its run did not complete."""
+        self._splitter.drop_partial_event()
 
     async def _send(self, head, data):
-        if not self._begun:
+        if not self._started:
             self._begin(head)
         self._active.note_output(self._context.now_s)
         await self._active.responder.send(data)
 
     def _begin(self, head):
-        self._begun = True
+        self._started = True
         headers = self._context.dialect.reply_headers(head)
         self._active.responder.begin(head.status, headers)
--- a/currantdeal/entry/releases.py
+++ b/currantdeal/entry/releases.py
@@ -1,4 +1,4 @@
-"""Giving back what upstreams keep for requests that do not need it."""
+"""Releases what upstreams hold for requests that no longer need it."""
 
 import structlog
 
@@ -6,16 +6,17 @@
 from currantdeal.node.errors import ExchangeError
 
 RELEASE_TIMEOUT_S = 0.5
+"""Time in which an upstream must answer a release."""
 
 _log = structlog.get_logger(__name__)
 
 
 def release(context, address, call):
-    """Make a call in the background that gives something back."""
-    context.in_background(_quietly(context, address, call))
+    """Send a release call in the background; a failure is only logged."""
+    context.in_background(_send_release(context, address, call))
 
 
-async def _quietly(context, address, call):
+async def _send_release(context, address, call):
     try:
         await exchange(
             context.pool,
@@ -25,5 +26,5 @@
             harmless=True,
         )
     except ExchangeError as exc:
-        # What was reserved runs out by itself at the engine.
+        # The reservation expires at the engine.
         _log.info("release-failed", address=address, why=str(exc))
--- a/currantdeal/entry/service.py
+++ b/currantdeal/entry/service.py
@@ -1,4 +1,4 @@
-"""An entry: from a caller's request to the answer it gets."""
+"""Handles the requests of callers, from receipt to the final answer."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from currantdeal.core.errors import DialectError
 from currantdeal.entry.context import ActiveRequest
 from currantdeal.entry.errors import (
-    BrokenOffError,
     FailedError,
+    IncompleteAnswerError,
     QuarantinedError,
     RefusedError,
 )
@@ -19,23 +19,25 @@
 from currantdeal.policy.return_time import Shortage, return_after_s
 
 ANSWER_MARGIN_S = 0.03
-"""Time before a request's end at which it is given up.
+"""Time before the caller's timeout at which a request is timed out.
 
 The final answer still has to reach its caller.
 """
 
 DEFAULT_PATIENCE_S = 60.0
-"""Time of a caller that names none."""
+"""Timeout of a caller that sets none."""
 
 _REFUSAL_STATUS = {Shortage.QUARANTINE: 429}
-"""Status of a refusal where it is not 503: nothing is missing here, it is the
-caller's request that may not be sent again."""
+"""Statuses of refusals other than 503.
 
-_TEXT = (b"content-type", b"text/plain")
+There is capacity for a request in quarantine; the caller must not retry it.
+"""
+
+_TEXT_HEADER = (b"content-type", b"text/plain")
 _OUTCOME_UNKNOWN = (
     "outcome unknown, the request may have run; check before sending it again"
 )
-_UNREADABLE = CallerRequest(request_id="", patience_s=None)
+_UNREADABLE_CALL = CallerRequest(request_id="", patience_s=None)
 _log = structlog.get_logger(__name__)
 
 
@@ -49,7 +51,7 @@
     """
 
     def __init__(self, *, context):
-        """Take requests as long as ``stopping`` is not set."""
+        """Start to accept all requests."""
         self._context = context
         self.stopping = False
         self.refuse_streams = False
@@ -61,7 +63,7 @@
             call = self._context.dialect.read_caller(request.head)
         except DialectError as exc:
             version = self._context.view.version
-            self._reject(responder, _UNREADABLE, 400, str(exc), version)
+            self._reject(responder, _UNREADABLE_CALL, 400, str(exc), version)
             return
         if table is None:
             refusal = RefusedError(
@@ -72,7 +74,13 @@
         host = request.head.get("host", "")
         route = table.find(host, request.head.target)
         if route is None:
-            self._reject(responder, call, 404, "no route", table.version)
+            self._reject(
+                responder,
+                call,
+                404,
+                "no route matches the host and path",
+                table.version,
+            )
             return
         if not call.request_id:
             self._reject(responder, call, 400, "no request id", table.version)
@@ -87,7 +95,7 @@
             route=route,
             service=table.draw_service(route, self._context.random),
             version=table.version,
-            ends_s=request.arrived_s + patience_s - ANSWER_MARGIN_S,
+            deadline_s=request.arrived_s + patience_s - ANSWER_MARGIN_S,
         )
         await self._run(active)
 
@@ -96,27 +104,27 @@
         try:
             outcome = await self._serve(active)
         finally:
-            self._note_end(active, outcome)
+            self._log_end(active, outcome)
 
     async def _serve(self, active):
         self._context.note_request(active.service.name)
         try:
-            async with asyncio.timeout_at(active.ends_s):
-                await self._work(active)
+            async with asyncio.timeout_at(active.deadline_s):
+                await self._dispatch(active)
         except RefusedError as exc:
             self._refuse(active.request, active.responder, active.call, exc)
             return f"refused: {exc}"
         except FailedError as exc:
             self._fail(active, 502, f"{_OUTCOME_UNKNOWN}: {exc}")
             return f"failed: {exc}"
-        except BrokenOffError as exc:
+        except IncompleteAnswerError as exc:
             active.responder.abort()
             return f"broken off: {exc}"
         except TimeoutError:
             return self._time_out(active)
         return "answered"
 
-    async def _work(self, active):
+    async def _dispatch(self, active):
         if self._context.crashes.is_quarantined(active):
             raise QuarantinedError(shown(active.fingerprint))
         if not active.is_generation:
@@ -135,9 +143,13 @@
             active.responder.abort()
             return "broken off: its time is over"
         if active.runs:
-            self._fail(active, 504, f"{_OUTCOME_UNKNOWN}: its time is over")
+            self._fail(active, 504, f"{_OUTCOME_UNKNOWN}: the deadline passed")
             return "failed: its time is over"
-        self._fail(active, 504, "its time is over before an upstream took it")
+        self._fail(
+            active,
+            504,
+            "the deadline passed before an upstream accepted the request",
+        )
         return "failed: nothing was free in its time"
 
     def _refuse(self, request, responder, call, refusal):
@@ -148,7 +160,9 @@
         )
         retry_after = (b"retry-after", f"{max(0.0, after_s):.3f}".encode())
         status = _REFUSAL_STATUS.get(refusal.shortage, 503)
-        responder.answer(status, (_TEXT, retry_after), _line(str(refusal)))
+        responder.answer(
+            status, (_TEXT_HEADER, retry_after), _text_body(str(refusal))
+        )
         self._context.metrics.add(
             "refused_total", reason=refusal.shortage.value
         )
@@ -162,7 +176,7 @@
         )
 
     def _reject(self, responder, call, status, reason, version):
-        responder.answer(status, (_TEXT,), _line(reason))
+        responder.answer(status, (_TEXT_HEADER,), _text_body(reason))
         self._context.metrics.add("rejected_total", status=str(status))
         _log.info(
             "request-rejected",
@@ -177,9 +191,11 @@
         if active.responder.started:
             active.responder.abort()
         else:
-            active.responder.answer(status, (_TEXT,), _line(reason))
+            active.responder.answer(
+                status, (_TEXT_HEADER,), _text_body(reason)
+            )
 
-    def _note_end(self, active, outcome):
+    def _log_end(self, active, outcome):
         now_s = self._context.now_s
         took_s = now_s - active.request.arrived_s
         kind = outcome.partition(":")[0]
@@ -204,7 +220,7 @@
             pause_target=active.route.pause_target_s,
             patience=active.call.patience_s,
             timeout=active.route.timeout_s,
-            returned=active.has_returned,
+            returned=active.is_retry,
             prompt_tokens=active.call.prompt_tokens,
             search=str(active.search),
             steps=[str(step) for step in active.steps],
@@ -213,5 +229,5 @@
         )
 
 
-def _line(text):
+def _text_body(text):
     return (text + "\n").encode()
--- a/currantdeal/entry/steps.py
+++ b/currantdeal/entry/steps.py
@@ -1,4 +1,7 @@
-"""What happened to a request on its way, as its log line tells it."""
+"""Steps of a request, as its log line lists them.
+
+The command ``account`` parses the text of a step and relies on its format.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -14,19 +17,35 @@
 class StepKind(str, Enum):
     """Kind of a step.
 
-    ``MEMORY`` tells that an engine reserved memory, ``PROMPT`` that the
-    prompt was read, ``OWN_PROMPT`` that the decode engine is to read it
-    itself, ``STREAM`` that an engine began to send events and
-    ``ANSWER`` that a plain service answered.  ``UNREACHABLE`` is an upstream
-    that took no connection, ``SILENT`` one that did not answer in time,
-    ``LOST`` one whose connection ended early.  ``REFUSED`` is an upstream
-    that did not run the request, ``ERROR`` one that failed, and
-    ``NO_BUDGET`` tells that the retry budget did not allow another try.
+    Attributes
+    ----------
+    MEMORY
+        A decode engine reserved memory.
+    PROMPT
+        A prefill engine prefilled the prompt.
+    LOCAL_PREFILL
+        The decode engine is to prefill the prompt itself.
+    STREAM
+        A decode engine began to send events.
+    ANSWER
+        An upstream answered a call that is not a generation.
+    UNREACHABLE
+        An upstream accepted no connection.
+    SILENT
+        An upstream did not answer in time.
+    LOST
+        The connection to an upstream ended early.
+    REFUSED
+        An upstream did not run the request.
+    ERROR
+        An upstream failed.
+    NO_BUDGET
+        The retry budget did not allow another attempt.
     """
 
     MEMORY = "memory"
     PROMPT = "prompt"
-    OWN_PROMPT = "own-prompt"
+    LOCAL_PREFILL = "own-prompt"
     STREAM = "stream"
     ANSWER = "answer"
     UNREACHABLE = "unreachable"
@@ -45,10 +64,12 @@
     ----------
     after_s : float
         Seconds since the request arrived.
+    kind : StepKind
+        What happened.
     upstream : str
-        The upstream that took part, or empty.
+        The upstream of the step, or empty.
     detail : str
-        What else is known, for people.
+        Further text for operators, or empty.
 
     Examples
     --------
@@ -74,7 +95,7 @@
 
 
 def read_step(text):
-    """Return the ``Step`` of a logged text; None if it is none."""
+    """Parse the text of a logged step; returns None if it is not one."""
     head, _, detail = text.partition(": ")
     parts = head.split()
     try:
@@ -87,7 +108,7 @@
 
 @singledispatch
 def kind_of_failure(exc):
-    """Return the kind of step that a failed exchange is."""
+    """Return the ``StepKind`` of a failed exchange."""
     raise TypeError(f"not a failed exchange: {exc!r}")
 
 
--- a/currantdeal/entry/subscription.py
+++ b/currantdeal/entry/subscription.py
@@ -1,11 +1,12 @@
-"""Keeping an entry's view up to date.
+"""Keeps an entry's view up to date by subscribing to a control instance.
 
-An entry follows the nearest control instance that accepts it.  It moves to
-another when that one is unresponsive, or is out of touch with the leader while
-another is not: behind a partition the entry would keep an old view.
+An entry follows the nearest control instance that accepts it.  It switches to
+another one if that instance is unresponsive, or has lost contact with the
+leader while another has not: on the wrong side of a partition the entry would
+keep a stale view.
 
-Entries that all follow the first instance of a list load that one and its
-links between regions, and lose their source together.
+If all entries followed the first instance of a list, they would overload it
+and its links between regions, and would all lose their source at once.
 """
 
 import asyncio
@@ -27,47 +28,49 @@
 )
 from currantdeal.node.peers import HEARTBEAT_S, connect_peer
 
-SILENT_AFTER_S = 1.2
-"""Silence after which another control instance is followed.
+SILENCE_TIMEOUT_S = 1.2
+"""Silence after which the entry switches to another control instance.
 
-Two missed heartbeats; together with the time to connect elsewhere this stays
-below the 2.5 s in which an upstream that leaves must be known everywhere.
+Two missed heartbeats.  Together with the time to connect elsewhere this stays
+below the 2.5 s within which all entries must learn that an upstream leaves.
 """
 
-STALE_AFTER_S = 1.2
-"""Time out of touch with the leader after which another one is followed."""
+STALENESS_TIMEOUT_S = 1.2
+"""Time without contact to the leader after which the entry switches."""
 
 SUBSCRIBE_TIMEOUT_S = 0.8
+"""Time in which an instance must answer a subscription."""
+
 AVOID_S = 3.0
-"""Time for which an instance that was left is followed last."""
+"""Time for which an instance that failed or refused is tried last."""
 
 UNKNOWN_DISTANCE = 2
-"""Distance of an instance whose data centre is not known yet: the longest."""
+"""Distance of an instance whose data centre is unknown: the longest one."""
 
 _log = structlog.get_logger(__name__)
 
 
 class Subscription:
-    """Follows a control instance.
+    """Follows one control instance at a time.
 
     Parameters
     ----------
     view : EntryView
-        Takes what comes.
+        Updated with each notice.
     own_record : callable
         Returns the ``EntryRecord`` to announce, each time with a higher
         sequence.
     seeds : callable
-        Returns the peer addresses that the settings name.
+        Returns the control addresses from the settings.
     take_demand : callable
         Returns the demand of each service since the last call.
     report_load : callable
         Returns the ``PoolLoad`` of this entry.
     take_load : callable
-        Takes the ``PoolLoad`` of all entries.
+        Called with the ``PoolLoad`` of all entries.
     take_reading : callable
-        Takes a decode engine that reads a prompt of another entry, and for
-        how long.
+        Called with a decode engine that prefills a prompt of another entry
+        locally, and for how long.
     crashes : CrashWatch
         Requests that crash upstreams.
     clock : callable
@@ -87,7 +90,7 @@
         crashes,
         clock,
     ):
-        """Follow nobody before ``run``."""
+        """Start without a source; ``run`` subscribes."""
         self._view = view
         self._own_record = own_record
         self._seeds = seeds
@@ -97,18 +100,18 @@
         self._take_reading = take_reading
         self._crashes = crashes
         self._clock = clock
-        self._known = {}
-        self._avoid = {}
+        self._distances = {}
+        self._avoided_until_s = {}
         self._connection = None
         self._source = ""
-        self._moving = None
-        self._load_told = None
-        self._load_told_s = 0.0
-        self._heard_s = 0.0
-        self._current_s = 0.0
+        self._switch_task = None
+        self._sent_load = None
+        self._sent_load_s = 0.0
+        self._last_notice_s = 0.0
+        self._last_current_s = 0.0
 
     def announce(self):
-        """Tell the followed instance at once what this entry is now."""
+        """Send this entry's record and demand to the source at once."""
         if self._connection is not None and self._connection.is_open:
             self._connection.notify(
                 EntryNotice(
@@ -117,27 +120,27 @@
             )
 
     def tell_load(self):
-        """Tell the followed instance what this entry holds, if it changed.
+        """Send this entry's load to the source, if it changed.
 
-        An unchanged load is repeated with each heartbeat, since what is not
-        repeated is forgotten.
+        An unchanged load is sent again with each heartbeat, since a load that
+        is not refreshed expires.
         """
         connection = self._connection
         if connection is None or not connection.is_open:
             return
-        self._tell_replaced(connection)
+        self._report_replaced(connection)
         now_s = self._clock()
         load = self._report_load()
-        told = (connection, load)
-        if told == self._load_told and now_s - self._load_told_s < HEARTBEAT_S:
+        sent = (connection, load)
+        if sent == self._sent_load and now_s - self._sent_load_s < HEARTBEAT_S:
             return
-        self._load_told = told
-        self._load_told_s = now_s
+        self._sent_load = sent
+        self._sent_load_s = now_s
         sender = self._own_record().instance
         connection.notify(LoadNotice(sender=sender, load=load))
 
     def tell_reading(self, upstream, for_s):
-        """Tell all entries that a decode engine reads a prompt from here."""
+        """Announce to all entries a local prefill for this entry."""
         connection = self._connection
         if connection is not None and connection.is_open:
             entry = self._own_record().instance
@@ -146,35 +149,35 @@
             )
 
     def tell_crashes(self, records):
-        """Tell all processes of requests that crash upstreams."""
+        """Send records of requests that crash upstreams to all processes."""
         connection = self._connection
         if connection is not None and connection.is_open:
             connection.notify(CrashesNotice(records=records))
 
-    def _tell_replaced(self, connection):
-        """Tell of upstreams at whose address another one answers.
+    def _report_replaced(self, connection):
+        """Report upstreams at whose address another one answers.
 
-        Their own leave never comes.  Untold, each entry finds out by a prompt
-        that is read for nothing.
+        Such an upstream never announces that it leaves.  Without the report,
+        each entry would waste a prefill to find out.
         """
-        replaced = self._view.take_replaced()
+        replaced = self._view.pop_replaced()
         if replaced:
             connection.notify(UpstreamsNotice(upstreams=replaced))
 
     async def run(self):
-        """Follow, until cancelled."""
+        """Follow control instances until cancelled."""
         while True:
-            await self._follow_one()
-            await self._stay()
-            self._leave()
+            await self._follow_any()
+            await self._watch_source()
+            self._disconnect()
 
-    async def _follow_one(self):
+    async def _follow_any(self):
         while True:
             if await self._subscribe_to_any(self._candidates()):
                 return
-            # Without a leader none of them is current.  What an instance
-            # hears itself, of upstreams and of the load, is still worth
-            # more than nothing.
+            # Without a leader no instance is current.  What an instance
+            # receives directly from upstreams and entries is still better
+            # than no view at all.
             if await self._subscribe_to_any(
                 self._candidates(), provisional=True
             ):
@@ -189,44 +192,44 @@
 
     def _candidates(self):
         now_s = self._clock()
-        known = dict.fromkeys((*self._known, *self._seeds()))
+        addresses = dict.fromkeys((*self._distances, *self._seeds()))
         return sorted(
-            known,
+            addresses,
             key=lambda a: (
-                self._avoid.get(a, 0.0) > now_s,
-                self._known.get(a, UNKNOWN_DISTANCE),
+                self._avoided_until_s.get(a, 0.0) > now_s,
+                self._distances.get(a, UNKNOWN_DISTANCE),
             ),
         )
 
     async def _subscribe(self, address, *, provisional=False):
-        """Follow an instance from now on, if it takes this entry."""
-        connection = await self._ask(address, provisional)
+        """Make an instance the source; returns False if it does not accept."""
+        connection = await self._connect(address, provisional)
         if connection is None:
-            self._avoid[address] = self._clock() + AVOID_S
+            self._avoided_until_s[address] = self._clock() + AVOID_S
             return False
         now_s = self._clock()
         before, self._connection = self._connection, connection
         self._source = address
-        self._heard_s = now_s
+        self._last_notice_s = now_s
         if not provisional:
-            self._current_s = now_s
+            self._last_current_s = now_s
         if before is not None:
             before.close()
-        # It may know less than this entry: it, or all of control, may have
-        # started anew.
+        # The instance, or the whole control plane, may have restarted and
+        # lost records that this entry has.
         if self._crashes.records:
             self.tell_crashes(self._crashes.records)
         _log.info(
             "control-followed",
             source=address,
-            distance=self._known.get(address),
+            distance=self._distances.get(address),
             provisional=provisional,
             version=self._view.version,
         )
         return True
 
-    async def _ask(self, address, provisional):
-        """Return a connection to an instance; None if it takes no entry."""
+    async def _connect(self, address, provisional):
+        """Return a connection to an instance; None if it does not accept."""
         try:
             connection = await connect_peer(address, on_notice=self._on_notice)
         except PeerUnreachableError:
@@ -248,99 +251,104 @@
             return None
         return connection
 
-    async def _stay(self):
+    async def _watch_source(self):
         while self._connection.is_open:
             await asyncio.sleep(HEARTBEAT_S)
             self.announce()
             now_s = self._clock()
-            if now_s - self._heard_s > SILENT_AFTER_S:
-                self._note_lost("silent")
+            if now_s - self._last_notice_s > SILENCE_TIMEOUT_S:
+                self._record_loss("silent")
                 return
-            self._look_for_better(now_s)
-        self._note_lost("connection lost")
+            self._switch_to_better(now_s)
+        self._record_loss("connection lost")
 
-    def _look_for_better(self, now_s):
-        """Begin to follow a better instance, if there may be one.
+    def _switch_to_better(self, now_s):
+        """Start to subscribe to a better instance, if there is a candidate.
 
-        A nearer one is better, and any other than one that is out of touch
-        with the leader.  The present one is followed until the other has
-        taken this entry, so that no news is missed when it does not answer.
+        A nearer instance is better, and if the source has lost contact with
+        the leader, any other is.  The source is kept until another instance
+        has accepted the subscription, so that no notice is missed if that
+        one does not answer.
         """
-        if self._moving is not None and not self._moving.done():
+        if self._switch_task is not None and not self._switch_task.done():
             return
-        stale = now_s - self._current_s > STALE_AFTER_S
-        here = self._known.get(self._source, UNKNOWN_DISTANCE)
+        stale = now_s - self._last_current_s > STALENESS_TIMEOUT_S
+        current_distance = self._distances.get(self._source, UNKNOWN_DISTANCE)
         better = [
             address
             for address in self._candidates()
             if address != self._source
-            and self._avoid.get(address, 0.0) <= now_s
-            and (stale or self._known.get(address, UNKNOWN_DISTANCE) < here)
+            and self._avoided_until_s.get(address, 0.0) <= now_s
+            and (
+                stale
+                or self._distances.get(address, UNKNOWN_DISTANCE)
+                < current_distance
+            )
         ]
         if better:
-            self._moving = asyncio.ensure_future(
+            self._switch_task = asyncio.ensure_future(
                 self._subscribe_to_any(better)
             )
 
-    def _note_lost(self, why):
+    def _record_loss(self, why):
         _log.warning(
             "control-lost", source=self._source, why=why, age=self._view.age_s
         )
-        self._avoid[self._source] = self._clock() + AVOID_S
+        self._avoided_until_s[self._source] = self._clock() + AVOID_S
 
-    def _leave(self):
-        if self._moving is not None:
-            self._moving.cancel()
+    def _disconnect(self):
+        if self._switch_task is not None:
+            self._switch_task.cancel()
         self._connection.close()
         self._connection = None
 
     def _on_notice(self, connection, message):
         if connection is self._connection:
-            self._heard_s = self._clock()
+            self._last_notice_s = self._clock()
         elif isinstance(message, SourceNotice):
-            # Only the followed instance tells whether it is current.
+            # Only a notice of the current source says whether it is current.
             return
-        self._take(message)
+        self._handle_notice(message)
 
     @singledispatchmethod
-    def _take(self, message):
+    def _handle_notice(self, message):
         _log.warning("notice-unknown", kind=type(message).__name__)
 
-    @_take.register
+    @_handle_notice.register
     def _(self, message: ConfigNotice):
         first = not self._view.version
         self._view.take_config(message.version, message.packed)
         if first:
             self.announce()
 
-    @_take.register
+    @_handle_notice.register
     def _(self, message: UpstreamsNotice):
         self._view.take_upstreams(message.upstreams, complete=message.complete)
 
-    @_take.register
+    @_handle_notice.register
     def _(self, message: SwitchingNotice):
-        self._view.take_switching(message.upstream, message.for_s)
+        self._view.note_switching(message.upstream, message.for_s)
 
-    @_take.register
+    @_handle_notice.register
     def _(self, message: LoadNotice):
         self._take_load(message.load)
 
-    @_take.register
+    @_handle_notice.register
     def _(self, message: CrashesNotice):
-        self._crashes.take(message.records)
+        self._crashes.merge(message.records)
 
-    @_take.register
+    @_handle_notice.register
     def _(self, message: ReadingNotice):
         if message.entry != self._own_record().instance:
             self._take_reading(message.upstream, message.for_s)
 
-    @_take.register
+    @_handle_notice.register
     def _(self, message: SourceNotice):
-        self._take_source(message, self._clock())
+        self._update_source(message, self._clock())
 
-    def _take_source(self, notice, now_s):
+    def _update_source(self, notice, now_s):
         distance_to = self._view.distance_to
-        self._known = {
+        self._distances = {
             place.address: distance_to(place.data_center)
             if place.data_center
             else UNKNOWN_DISTANCE
@@ -348,5 +356,5 @@
         }
         self._view.entries = notice.entries
         if notice.current:
-            self._current_s = now_s
+            self._last_current_s = now_s
             self._view.confirmed_s = now_s
--- a/currantdeal/entry/tests/test_generation.py
+++ b/currantdeal/entry/tests/test_generation.py
@@ -1,3 +1,5 @@
+"""Generations against stand-ins for engines: order of steps and failures."""
+
 import asyncio
 import json
 
@@ -25,25 +27,25 @@
 DRAFT = request_bytes("/draft/1", more=GENERATION)
 
 
-async def _engines(*scripts):
-    found = [StandInUpstream(upstream="p1")]
-    found += [
+async def _start_engines(*scripts):
+    standins = [StandInUpstream(upstream="p1")]
+    standins += [
         StandInUpstream(upstream=f"d{n}", script=script)
         for n, script in enumerate(scripts, start=1)
     ]
-    for standin in found:
+    for standin in standins:
         await standin.start()
-    return found
+    return standins
 
 
-def _break_after(pieces, *, partial=b""):
+def _crash_after(events, *, partial=b""):
     async def script(standin, request, writer):
         if not request.get("X-Currantdeal-Token-Counts"):
             return False
         if request.get("Last-Event-Id"):
             return False
         standin.begin_stream(request, writer)
-        for number in range(1, pieces + 1):
+        for number in range(1, events + 1):
             send_event(writer, number)
         if partial:
             send_chunk(writer, partial)
@@ -55,9 +57,9 @@
     return script
 
 
-def test_memory_is_reserved_then_the_prompt_read_then_the_stream_sent():
+def test_memory_is_reserved_before_the_prompt_is_prefilled():
     async def run():
-        prefill, decode = await _engines(None)
+        prefill, decode = await _start_engines(None)
         async with entry_world() as world:
             world.know_engines(prefill, decode)
             return await world.ask(NOTE), prefill, decode
@@ -76,16 +78,17 @@
     assert int(read.get("X-Currantdeal-Deadline-Ms")) <= 2_000
 
 
-def test_an_unfinished_event_is_dropped_before_the_stream_goes_on():
-    """An engine crashes in the middle of an event.
+def test_partial_event_is_dropped_before_the_stream_resumes():
+    """Guards against a corrupt event at the caller.
 
-    The next engine sends that event again from its beginning.  Joined to
-    the part, it would reach the caller as an event that nobody sent.
+    An engine crashes in the middle of an event, and the next engine sends
+    that event again in full.  Appended to the partial event, it would reach
+    the caller as an event that no engine sent.
     """
 
     async def run():
-        broken = _break_after(3, partial=b"id: 4\ndata: pie")
-        prefill, first, second = await _engines(broken, broken)
+        crash = _crash_after(3, partial=b"id: 4\ndata: pie")
+        prefill, first, second = await _start_engines(crash, crash)
         async with entry_world() as world:
             world.know_engines(prefill, first, second)
             return await world.ask(DRAFT), first, second
@@ -97,11 +100,12 @@
     assert len(first.runs) + len(second.runs) == 2
 
 
-def test_a_silent_engine_is_kept_while_no_other_has_room():
-    """An engine pauses a stream for want of memory, as all others want it.
+def test_stream_stays_at_a_silent_engine_while_no_other_has_memory():
+    """Guards against cutting a stream that is only preempted.
 
-    Given up on, the stream would end in the middle although its engine goes
-    on with it a moment later.
+    An engine pauses a stream for lack of memory while all other engines are
+    full, too.  Failing over would end the stream in the middle, although its
+    engine continues it a moment later.
     """
 
     async def pauses(standin, request, writer):
@@ -121,7 +125,7 @@
         return True
 
     async def run():
-        prefill, first, second = await _engines(pauses, full)
+        prefill, first, second = await _start_engines(pauses, full)
         async with entry_world(config=config_body(timeout_ms=5000)) as world:
             world.know_engines(prefill, first, second)
             draft = request_bytes("/draft/1", more=GENERATION)
@@ -133,10 +137,14 @@
     assert second.seen != []
 
 
-def test_a_silent_engine_is_left_when_another_has_room():
-    """An engine falls silent for good in the middle of a stream."""
+def test_stream_fails_over_from_a_silent_engine_to_one_with_memory():
+    """Guards against a stream that waits for an engine that never continues.
+
+    The engine stops sending events in the middle of a stream and keeps the
+    connection open.
+    """
 
-    async def falls_silent(standin, request, writer):
+    async def goes_silent(standin, request, writer):
         if not request.get("X-Currantdeal-Token-Counts"):
             return False
         if request.get("Last-Event-Id"):
@@ -148,7 +156,7 @@
         return True
 
     async def run():
-        prefill, first, second = await _engines(falls_silent, falls_silent)
+        prefill, first, second = await _start_engines(goes_silent, goes_silent)
         async with entry_world(config=config_body(timeout_ms=5000)) as world:
             world.know_engines(prefill, first, second)
             return await world.ask(DRAFT)
@@ -157,15 +165,15 @@
     assert pieces(answer) == list(range(1, EVENTS + 1))
 
 
-def test_a_stream_that_may_not_be_repeated_is_broken_off_visibly():
-    """An engine crashes while it runs a stream that may not run twice.
+def test_stream_that_may_not_be_repeated_ends_without_a_terminator():
+    """Guards against a partial answer that looks complete.
 
-    The caller must not take the part it has for the whole.
+    An engine crashes while it runs a stream that may not run twice.
     """
 
     async def run():
-        prefill, first, second = await _engines(
-            _break_after(2), _break_after(2)
+        prefill, first, second = await _start_engines(
+            _crash_after(2), _crash_after(2)
         )
         async with entry_world() as world:
             world.know_engines(prefill, first, second)
@@ -178,15 +186,21 @@
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
-def test_broken_generation_of_a_plain_route_is_cut_visibly(kind, capsys):
-    """Guards against a broken stream that ends in an error of the entry."""
+def test_lost_generation_of_a_plain_route_ends_without_a_terminator(
+    kind, capsys
+):
+    """Guards against an internal error of the entry after a lost stream.
+
+    A generation is sent on a route whose type is not streaming, and the
+    engine crashes in the middle of the stream.
+    """
     config = json.loads(config_body())
     menu = config["Routes"][0]
     menu.update(RouteType=kind, Service="model", MaxAttempts=2)
 
     async def run():
-        prefill, first, second = await _engines(
-            _break_after(2), _break_after(2)
+        prefill, first, second = await _start_engines(
+            _crash_after(2), _crash_after(2)
         )
         async with entry_world(config=json.dumps(config).encode()) as world:
             world.know_engines(prefill, first, second)
@@ -200,11 +214,12 @@
     assert "broken off: " in capsys.readouterr().out
 
 
-def test_without_memory_it_is_refused_before_a_prompt_is_read():
-    """Every decode engine is full, as at each peak.
+def test_without_memory_it_is_refused_before_the_prefill():
+    """Guards against a wasted prefill while every decode engine is full.
 
-    A prompt read now would be lost half a second later; the caller gets a
-    refusal that says when to come back.
+    This happens at each peak.  The KV cache of a prompt that is prefilled now
+    would expire half a second later.  The caller gets a refusal with a
+    retry-after.
     """
 
     async def full(standin, request, writer):
@@ -212,7 +227,7 @@
         return True
 
     async def run():
-        prefill, decode = await _engines(full)
+        prefill, decode = await _start_engines(full)
         async with entry_world() as world:
             world.know_engines(prefill, decode)
             return await world.ask(NOTE), prefill, decode
@@ -224,14 +239,14 @@
     assert decode.runs == []
 
 
-def test_a_prefill_that_nobody_needs_is_freed():
-    """The decode engine leaves while the prompt is being read.
+def test_unused_reservation_and_kv_cache_are_released():
+    """Guards against memory that stays reserved without a generation.
 
-    Its memory and the KV cache would stay held for nobody.
+    The decode engine leaves while the prompt is prefilled for it.
     """
 
     async def run():
-        prefill, decode = await _engines(None)
+        prefill, decode = await _start_engines(None)
         async with entry_world() as world:
             world.know_engines(prefill, decode)
 
@@ -256,15 +271,16 @@
     assert decode.runs == []
 
 
-def test_memory_that_an_engine_grants_as_it_leaves_is_given_back():
-    """The decode engine is withdrawn while it answers a reservation.
+def test_memory_that_an_engine_grants_as_it_leaves_is_released():
+    """Guards against an unused reservation at an engine that drains.
 
-    Nothing may be sent there any more, and what it granted would stay
-    reserved for nobody while its last streams want memory.
+    The decode engine is withdrawn while it answers a reservation.  No work
+    may be sent there any more, and the reservation would take memory from its
+    last streams.
     """
 
     async def run():
-        prefill, decode = await _engines(None)
+        prefill, decode = await _start_engines(None)
         async with entry_world() as world:
             world.know_engines(prefill, decode)
 
@@ -288,11 +304,12 @@
     assert decode.runs == []
 
 
-def test_an_engine_that_was_replaced_is_asked_once():
-    """An engine restarts under another name at the same address.
+def test_replaced_engine_gets_one_stream_at_most():
+    """Guards against repeated prefills for an engine that was replaced.
 
-    It grants memory and refuses the stream that is meant for its earlier
-    self; each further prompt read for it would be read in vain.
+    An engine restarts under another name at the same address.  It grants
+    memory and then refuses the streams addressed to its former name, so each
+    prompt prefilled for it is wasted.
     """
 
     async def other(standin, request, writer):
@@ -305,13 +322,13 @@
         return True
 
     async def run():
-        prefill, replaced, sound = await _engines(other, None)
+        prefill, replaced, healthy = await _start_engines(other, None)
         async with entry_world() as world:
-            world.know_engines(prefill, replaced, sound)
+            world.know_engines(prefill, replaced, healthy)
             answers = []
             for _ in range(3):
                 answers.append(await world.ask(NOTE))
-                # Longer than an engine that refused is left alone.
+                # Longer than an engine that refused stays ejected.
                 await asyncio.sleep(0.6)
             return answers, replaced
 
@@ -320,10 +337,11 @@
     assert len(replaced.runs) <= 1
 
 
-def test_a_caller_that_leaves_ends_the_run_at_the_engine():
-    """A caller closes its connection in the middle of a stream.
+def test_run_is_cancelled_when_its_caller_disconnects():
+    """Guards against a run that holds memory without a caller.
 
-    The engine would go on for seconds and hold memory for nobody.
+    A caller closes its connection in the middle of a stream.  Without a
+    cancellation the engine would continue the run for seconds.
     """
 
     async def run():
@@ -342,7 +360,7 @@
                 cancelled.set()
             return True
 
-        prefill, decode = await _engines(slow)
+        prefill, decode = await _start_engines(slow)
         async with entry_world() as world:
             world.know_engines(prefill, decode)
             reader, writer = await world.send(NOTE)
@@ -354,10 +372,11 @@
     asyncio.run(run())
 
 
-def test_headers_that_only_the_system_sets_do_not_pass():
-    """A caller names a reservation and a KV cache of somebody else.
+def test_internal_headers_of_a_caller_are_not_forwarded():
+    """Guards against forged internal headers.
 
-    Passed on, its request would use up another caller's memory.
+    A caller sends the reservation and the KV cache handle of another caller.
+    If they were forwarded, its request would use that caller's memory.
     """
     forged = (
         *GENERATION,
@@ -370,7 +389,7 @@
     )
 
     async def run():
-        prefill, decode = await _engines(None)
+        prefill, decode = await _start_engines(None)
         async with entry_world() as world:
             world.know_engines(prefill, decode)
             await world.ask(request_bytes("/note/1", more=forged))
@@ -384,8 +403,8 @@
         assert not request.get("X-Currantdeal-Request-Priority")
 
 
-def test_an_answer_without_a_signature_is_not_passed_on():
-    """Something that is not the engine answers at its address."""
+def test_an_answer_without_a_signature_is_not_forwarded():
+    """Guards against the answer of another program at an engine's address."""
 
     async def foreign(standin, request, writer):
         if request.target.startswith("/v1/"):
@@ -394,7 +413,7 @@
         return True
 
     async def run():
-        prefill, decode = await _engines(foreign)
+        prefill, decode = await _start_engines(foreign)
         async with entry_world() as world:
             world.know_engines(prefill, decode)
             return await world.ask(NOTE)
@@ -404,7 +423,7 @@
     assert b"yours" not in answer
 
 
-def test_reading_to_the_end_tells_a_reset():
+def test_read_to_end_returns_the_data_before_a_reset():
     async def run():
         async def reset(reader, writer):
             writer.write(b"part")
--- a/currantdeal/entry/tests/test_lost_engines.py
+++ b/currantdeal/entry/tests/test_lost_engines.py
@@ -1,3 +1,5 @@
+"""Generations while engines are unresponsive, refuse or are replaced."""
+
 import asyncio
 import time
 
@@ -20,7 +22,7 @@
 NOTE = request_bytes("/note/1", more=GENERATION)
 
 
-async def _dark(standin, request, writer):
+async def _unresponsive(standin, request, writer):
     await asyncio.sleep(3.0)
     return True
 
@@ -30,55 +32,57 @@
     return True
 
 
-async def _started(**scripts):
-    found = {}
+async def _start_engines(**scripts):
+    standins = {}
     for name, script in scripts.items():
-        found[name] = StandInUpstream(upstream=name, script=script)
-        await found[name].start()
-    return found
+        standins[name] = StandInUpstream(upstream=name, script=script)
+        await standins[name].start()
+    return standins
 
 
-def _know(world, engines):
+def _announce(world, engines):
     for name, standin in engines.items():
         stage = Stage.PREFILL if name.startswith("p") else Stage.DECODE
         world.know(standin, service="model", stage=stage)
 
 
-async def _time_of_answer(world):
-    """Ask once; returns the seconds to the end of a whole answer."""
+async def _answer_time_s(world):
+    """Send one request; returns the seconds to the end of its answer."""
     began_s = time.monotonic()
     answer = await world.ask(NOTE)
     assert pieces(answer) == list(range(1, EVENTS + 1))
     return time.monotonic() - began_s
 
 
-def test_a_decode_engine_that_went_dark_does_not_hold_callers_up():
-    """One of two decode engines takes connections and says nothing.
+def test_unresponsive_decode_engine_does_not_delay_callers():
+    """Guards against waiting for the timeout of an unresponsive engine.
 
-    Callers would wait for its timeout and miss their target, though the
-    other engine has room.
+    One of two decode engines accepts connections and never answers.  Callers
+    would wait for its timeout and miss their target, although the other
+    engine has memory.
     """
 
     async def run():
-        engines = await _started(p1=None, d1=_dark, d2=None)
+        engines = await _start_engines(p1=None, d1=_unresponsive, d2=None)
         async with entry_world() as world:
-            _know(world, engines)
-            return [await _time_of_answer(world) for _ in range(4)]
+            _announce(world, engines)
+            return [await _answer_time_s(world) for _ in range(4)]
 
     assert max(asyncio.run(run())) < 0.3
 
 
-def test_a_prompt_that_is_refused_goes_to_the_next_prefill_engine():
-    """A prefill engine changes its stage before the entry hears of it.
+def test_refused_prompt_goes_to_the_next_prefill_engine():
+    """Guards against local prefill while a prefill engine is free.
 
-    A decode engine that reads the prompt instead makes all its streams
-    pause.
+    A prefill engine changes its stage before the entry is notified, and
+    refuses the prompt.  Local prefill would pause all streams of the decode
+    engine.
     """
 
     async def run():
-        engines = await _started(p1=_refuses, p2=None, d1=None)
+        engines = await _start_engines(p1=_refuses, p2=None, d1=None)
         async with entry_world() as world:
-            _know(world, engines)
+            _announce(world, engines)
             for _ in range(6):
                 answer = await world.ask(NOTE)
                 assert pieces(answer) == list(range(1, EVENTS + 1))
@@ -90,44 +94,46 @@
     assert all(sources)
 
 
-def test_a_prefill_engine_that_went_dark_is_given_up_in_time():
-    """The only prefill engine takes connections and says nothing to prompts.
+def test_prefill_at_an_unresponsive_engine_times_out_before_the_target():
+    """Guards against waiting for an unresponsive prefill engine.
 
-    Waited for until the reservation ends, each caller misses its target.
+    The only prefill engine accepts connections and never answers a prompt.
+    If the entry waited until the reservation expires, each caller would miss
+    its target.
     """
 
     async def run():
-        engines = await _started(p1=_dark, d1=None)
+        engines = await _start_engines(p1=_unresponsive, d1=None)
         config = config_body(target_ms=TARGET_MS)
         async with entry_world(config=config) as world:
-            _know(world, engines)
-            return [await _time_of_answer(world) for _ in range(3)]
+            _announce(world, engines)
+            return [await _answer_time_s(world) for _ in range(3)]
 
     assert max(asyncio.run(run())) < TARGET_MS / 1_000
 
 
-def test_an_engine_that_was_out_is_used_again_once_it_answers():
-    """A decode engine is back after a second without an answer.
+def test_ejected_engine_is_used_again_after_a_health_check():
+    """Guards against callers' requests being used as probes.
 
-    While it is away no caller waits for it, and afterwards it is found again
-    without one.
+    A decode engine is unresponsive for about a second.  Meanwhile no caller
+    waits for it, and afterwards a health check returns it to use.
     """
 
     async def run():
-        away = True
+        unresponsive = True
 
         async def script(standin, request, writer):
-            if away:
+            if unresponsive:
                 await asyncio.sleep(3.0)
-            return away
+            return unresponsive
 
-        engines = await _started(p1=None, d1=script)
+        engines = await _start_engines(p1=None, d1=script)
         async with entry_world() as world:
-            _know(world, engines)
+            _announce(world, engines)
             refused = await world.ask(NOTE)
             assert b" 503 " in refused
             await asyncio.sleep(0.3)
-            away = False
+            unresponsive = False
             for _ in range(40):
                 await asyncio.sleep(0.1)
                 if pieces(await world.ask(NOTE)):
@@ -138,11 +144,12 @@
     assert asyncio.run(run()) >= 1
 
 
-def test_a_process_that_took_an_address_over_is_found_by_its_health_check():
-    """An engine crashes and another starts at its address.
+def test_health_check_detects_another_process_at_the_address():
+    """Guards against reservations at an engine that was replaced.
 
-    The address grants memory and then refuses what is sent in the old name,
-    after the prompt was read.
+    An engine crashes and another one starts at its address.  That one grants
+    memory and then refuses requests addressed to the old name, after their
+    prompts were prefilled.
     """
 
     async def run():
@@ -155,22 +162,23 @@
             )
             return True
 
-        engines = await _started(p1=None, d1=other)
+        engines = await _start_engines(p1=None, d1=other)
         async with entry_world() as world:
-            _know(world, engines)
+            _announce(world, engines)
             context = world.context
             record = context.view.record("d1")
             context.eject(record, context.standings)
             await asyncio.sleep(1.0)
-            return context.view.takes_work("d1")
+            return context.view.accepts_work("d1")
 
     assert asyncio.run(run()) is False
 
 
-def test_a_prompt_read_for_an_engine_that_left_serves_another():
-    """A decode engine announces that it drains while a prompt is read for it.
+def test_kv_cache_for_an_engine_that_left_is_used_by_another():
+    """Guards against a second prefill of the same prompt.
 
-    Read once more, the prompt makes its caller late and the queue longer.
+    A decode engine announces that it drains while a prompt is prefilled for
+    it.  A second prefill would make the caller late and the queue longer.
     """
 
     async def run():
@@ -191,8 +199,8 @@
                 )
                 return False
 
-            engines = await _started(p1=drains, d1=None, d2=None)
-            _know(world, engines)
+            engines = await _start_engines(p1=drains, d1=None, d2=None)
+            _announce(world, engines)
             answer = await world.ask(NOTE)
             return answer, engines
 
--- a/currantdeal/entry/tests/test_plain.py
+++ b/currantdeal/entry/tests/test_plain.py
@@ -1,3 +1,5 @@
+"""Calls that are not generations, against faulty stand-ins for upstreams."""
+
 import asyncio
 
 import pytest
@@ -17,24 +19,24 @@
 
 
 def _ask(raw, *scripts, allowance=100.0):
-    """Return the answer and the stand-ins that were there for it."""
+    """Return the answer to one request, and the stand-ins of its upstreams."""
 
     async def run():
-        found = [
+        standins = [
             StandInUpstream(upstream=f"u{n}", script=script)
             for n, script in enumerate(scripts, start=1)
         ]
         async with entry_world(allowance=allowance) as world:
-            for standin in found:
+            for standin in standins:
                 await standin.start()
                 world.know(standin)
-            return await world.ask(raw), found
+            return await world.ask(raw), standins
 
     return asyncio.run(run())
 
 
-def _runs(found):
-    return sum(len(standin.runs) for standin in found)
+def _runs(standins):
+    return sum(len(standin.runs) for standin in standins)
 
 
 async def _full(standin, request, writer):
@@ -42,12 +44,12 @@
     return True
 
 
-async def _error(standin, request, writer):
+async def _server_error(standin, request, writer):
     standin.send(request, writer, 500, b"broken")
     return True
 
 
-async def _cut(standin, request, writer):
+async def _truncated(standin, request, writer):
     writer.write(
         b"HTTP/1.1 200 OK\r\nX-Currantdeal-Response-Signature: s\r\n"
         b"Content-Length: 100\r\n\r\npart"
@@ -62,7 +64,7 @@
     return True
 
 
-async def _crossed(standin, request, writer):
+async def _mismatched(standin, request, writer):
     writer.write(
         b"HTTP/1.1 200 OK\r\nX-Currantdeal-Response-Signature: s\r\n"
         b"X-Currantdeal-Request-Id: other\r\nContent-Length: 5\r\n\r\nalien"
@@ -85,65 +87,72 @@
     assert answer.endswith(b"ok")
 
 
-@pytest.mark.parametrize("fault", [_error, _cut, _silent, _crossed])
-def test_an_idempotent_call_gets_another_upstreams_answer(fault):
-    """An upstream fails in one of the ways in which upstreams do.
+@pytest.mark.parametrize(
+    "fault", [_server_error, _truncated, _silent, _mismatched]
+)
+def test_an_idempotent_call_is_retried_at_another_upstream(fault):
+    """Guards against passing an upstream's failure to the caller.
 
-    The call may be repeated, so its caller need not notice.
+    An upstream answers with an error, cuts its answer short, is silent, or
+    sends the answer to another request.  The call is idempotent, so another
+    upstream can answer it.
     """
     answers = []
     for _ in range(3):
-        answer, found = _ask(MENU, fault, None)
+        answer, standins = _ask(MENU, fault, None)
         answers.append(answer)
-        assert _runs(found) <= 2
+        assert _runs(standins) <= 2
     assert all(a.startswith(b"HTTP/1.1 200") for a in answers)
     assert not any(b"alien" in a for a in answers)
 
 
-@pytest.mark.parametrize("fault", [_cut, _silent, _crossed])
-def test_an_order_is_never_sent_twice(fault):
-    """An upstream takes an order and its answer is lost.
+@pytest.mark.parametrize("fault", [_truncated, _silent, _mismatched])
+def test_a_non_idempotent_call_is_never_sent_twice(fault):
+    """Guards against running a call twice after its answer is lost.
 
-    A second try would order a second cake; the caller is told that the
-    outcome is not known, with a status that does not promise anything.
+    An upstream accepts an order and its answer is lost.  A second attempt
+    would order a second cake.  The caller gets status 502 or 504, which leave
+    the outcome open.
     """
-    answer, found = _ask(ORDER, fault, fault)
-    assert _runs(found) == 1
+    answer, standins = _ask(ORDER, fault, fault)
+    assert _runs(standins) == 1
     assert answer.split()[1] in (b"502", b"504")
 
 
-def test_an_order_that_was_refused_goes_to_another_upstream():
-    answer, found = _ask(ORDER, _full, None)
+def test_a_refused_call_goes_to_another_upstream():
+    answer, standins = _ask(ORDER, _full, None)
     assert answer.startswith(b"HTTP/1.1 200")
-    assert len(found[1].seen) == 1
+    assert len(standins[1].seen) == 1
 
 
-def test_an_order_that_nobody_takes_is_refused_as_not_run():
+def test_a_call_that_all_upstreams_refuse_is_refused_with_retry_after():
     answer, _ = _ask(ORDER, _full, _full)
     assert answer.startswith(b"HTTP/1.1 503")
     assert b"retry-after" in answer.lower()
 
 
-def test_an_error_of_the_upstream_is_passed_on_unchanged():
-    answer, _ = _ask(ORDER, _error)
+def test_an_error_of_the_upstream_is_forwarded_unchanged():
+    answer, _ = _ask(ORDER, _server_error)
     assert answer.startswith(b"HTTP/1.1 500")
     assert b"by-u1" in answer
     assert answer.endswith(b"broken")
 
 
-def test_repeats_stop_when_the_budget_is_used_up():
-    """Every upstream fails, as after a bad release.
+def test_retries_stop_when_the_budget_is_used_up():
+    """Guards against a retry storm.
 
-    Without a budget each call would load the upstreams twice.
+    Every upstream fails, as after a faulty release.  Without a budget each
+    call would load the upstreams twice.
     """
-    _, found = _ask(MENU, _error, _error, allowance=0.0)
-    assert _runs(found) == 1
+    _, standins = _ask(MENU, _server_error, _server_error, allowance=0.0)
+    assert _runs(standins) == 1
 
 
 def test_a_second_answer_never_reaches_the_next_caller():
-    """An upstream answers twice on one connection.
+    """Guards against answers that reach the wrong caller.
 
-    The second answer lies where the next caller's answer is expected.
+    An upstream answers twice on one connection.  On a reused connection the
+    second answer would be read as that to the next request.
     """
 
     async def twice(standin, request, writer):
@@ -162,15 +171,15 @@
     assert all(a.endswith(b"first") for a in asyncio.run(run()))
 
 
-def test_an_upstream_that_left_gets_nothing():
+def test_without_upstreams_a_call_is_refused():
     answer, _ = _ask(ORDER)
     assert answer.startswith(b"HTTP/1.1 503")
 
 
-def test_without_a_configuration_it_is_not_known_whether_there_is_a_route():
-    """An entry restarts while control cannot be reached.
+def test_without_a_configuration_a_call_is_refused_instead_of_not_found():
+    """Guards against a 404 for a route that exists.
 
-    It must not say that a route does not exist.
+    An entry restarts while control is unreachable, so it has no routes yet.
     """
 
     async def run():
@@ -185,7 +194,7 @@
     assert answer.startswith(b"HTTP/1.1 404")
 
 
-def test_requests_on_one_connection_are_answered_in_turn():
+def test_pipelined_requests_are_answered_in_order():
     async def run():
         standin = StandInUpstream()
         async with entry_world() as world:
--- a/currantdeal/entry/tests/test_query_of_death.py
+++ b/currantdeal/entry/tests/test_query_of_death.py
@@ -1,4 +1,8 @@
-"""A request that crashes each upstream that runs it, and what runs beside."""
+"""Queries of death: requests that crash each upstream that runs them.
+
+Load pattern: a caller retries such a request while other callers send healthy
+ones to the same upstreams.
+"""
 
 import asyncio
 
@@ -16,9 +20,10 @@
 POISON = b"poison"
 
 ALLOWED_CRASHES = 3
-"""Crashes from which a request is known for the cause."""
+"""Crashes after which a request is quarantined."""
 
 REPEATS = 10
+"""Number of times that the query of death is sent."""
 
 KINDS = {
     "menu": ("/menu/1", ()),
@@ -44,7 +49,7 @@
 
 
 class _Fleet:
-    """Upstreams of both services that an entry hears of when they are back."""
+    """Upstreams of both services, announced to the entry at each start."""
 
     def __init__(self, *, world, size=6, **options):
         self._world = world
@@ -83,8 +88,8 @@
         )
 
 
-async def _repeat(world, kind, *, pause_s=0.25):
-    """Return the answers to a poisonous request that is sent repeatedly."""
+async def _send_repeatedly(world, kind, *, pause_s=0.25):
+    """Send the query of death repeatedly; returns the answers."""
     answers = []
     for _ in range(REPEATS):
         answers.append(await world.ask(_request(kind, POISON)))
@@ -92,8 +97,8 @@
     return answers
 
 
-async def _send_others(world, kind, answers, *, bodies, done):
-    """Send sound requests until told to stop."""
+async def _send_healthy(world, kind, answers, *, bodies, done):
+    """Send healthy requests until ``done`` is set."""
     number = 0
     while not done.is_set():
         body = bodies[number % len(bodies)]
@@ -103,15 +108,15 @@
         await asyncio.sleep(0.01)
 
 
-def _play(kind, *, bodies=(), senders=0, before=0, **options):
-    """Return the fleet, the poison's answers and those of sound requests.
+def _run_scenario(kind, *, bodies=(), senders=0, before=0, **options):
+    """Return the fleet, the query of death's answers and the other answers.
 
-    Sound requests are sent before it, so that connections are kept, and beside
-    it.
+    Healthy requests are sent before it, so that there are idle connections,
+    and concurrently with it.
     """
 
     async def run():
-        others = []
+        other_answers = []
         done = asyncio.Event()
         async with entry_world() as world:
             fleet = _Fleet(world=world, **options)
@@ -120,22 +125,27 @@
                 await world.ask(_request(kind, b"sound"))
             tasks = [
                 asyncio.ensure_future(
-                    _send_others(world, kind, others, bodies=bodies, done=done)
+                    _send_healthy(
+                        world, kind, other_answers, bodies=bodies, done=done
+                    )
                 )
                 for _ in range(senders)
             ]
-            answers = await _repeat(world, kind)
+            answers = await _send_repeatedly(world, kind)
             done.set()
             await asyncio.gather(*tasks)
-            return fleet, answers, others
+            return fleet, answers, other_answers
 
     return asyncio.run(run())
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_query_of_death_is_not_sent_after_three_crashes(kind):
-    """Guards against a request that crashes one upstream after the other."""
-    fleet, answers, _ = _play(kind)
+    """Guards against a query of death that takes the whole service down.
+
+    The request crashes each upstream that runs it, and its caller retries.
+    """
+    fleet, answers, _ = _run_scenario(kind)
     assert fleet.crashes == ALLOWED_CRASHES
     assert all(a.startswith(b"HTTP/1.1 429") for a in answers[3:])
     assert all(b"retry-after" in a.lower() for a in answers[3:])
@@ -143,28 +153,33 @@
 
 @pytest.mark.parametrize("kind", ["note", "draft"])
 def test_query_of_death_in_prefill_is_not_sent_after_three_crashes(kind):
-    """Guards against a prompt that crashes the engines that prefill it."""
-    fleet, answers, _ = _play(kind, crashes_in_prefill=True)
+    """Guards against a prompt that crashes each engine that prefills it."""
+    fleet, answers, _ = _run_scenario(kind, crashes_in_prefill=True)
     assert fleet.crashes == ALLOWED_CRASHES
     assert all(a.startswith(b"HTTP/1.1 429") for a in answers[3:])
 
 
-def test_crash_on_a_kept_connection_counts():
-    """Guards against a crash that passes for a connection that was stale."""
-    fleet, _, _ = _play("note", before=6, crashes_in_prefill=True)
+def test_crash_on_a_reused_connection_counts():
+    """Guards against taking a crash for a stale connection.
+
+    The request that crashes the engine is sent on an idle connection, which
+    could also have been closed for other reasons.
+    """
+    fleet, _, _ = _run_scenario("note", before=6, crashes_in_prefill=True)
     assert fleet.crashes == ALLOWED_CRASHES
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_requests_beside_a_query_of_death_are_served(kind):
-    """Guards against refusing a request for a crash that another caused.
+def test_requests_concurrent_with_a_query_of_death_are_served(kind):
+    """Guards against refusing a request for a crash that another one caused.
 
-    One body is sent many times a second, so that it is beside each crash.
+    One body is sent many times a second, so that it runs on each upstream
+    that crashes.
     """
     bodies = (b"popular",)
-    fleet, _, others = _play(kind, bodies=bodies, senders=4)
-    refused = [a for _, a in others if a.startswith(b"HTTP/1.1 429")]
-    served = [a for b, a in others if _is_served(kind, b, a)]
+    fleet, _, other_answers = _run_scenario(kind, bodies=bodies, senders=4)
+    refused = [a for _, a in other_answers if a.startswith(b"HTTP/1.1 429")]
+    served = [a for b, a in other_answers if _is_served(kind, b, a)]
     assert fleet.crashes == ALLOWED_CRASHES
     assert refused == []
-    assert len(served) >= 0.9 * len(others)
+    assert len(served) >= 0.9 * len(other_answers)
--- a/currantdeal/entry/tests/test_resets.py
+++ b/currantdeal/entry/tests/test_resets.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that are reset, with real sockets."""
+"""Connection resets at each moment of a call, with real sockets."""
 
 import asyncio
 import socket
@@ -51,7 +51,7 @@
 
 
 def _reset(writer):
-    """Close a connection with a reset instead of an end."""
+    """Close a connection with a TCP reset instead of a FIN."""
     raw = writer.get_extra_info("socket")
     raw.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -60,7 +60,10 @@
 
 
 class _ResettingUpstream(StandInUpstream):
-    """Resets the connection of the first request that it is to run."""
+    """Resets the connection of the first request that it would run.
+
+    ``state`` is shared by the upstreams of a test, so that only one resets.
+    """
 
     def __init__(self, *, moment, state, **more):
         super().__init__(**more)
@@ -96,7 +99,7 @@
 
 
 class _HalfReadingUpstream(StandInUpstream):
-    """Reads the head of the first request only, and resets it."""
+    """Reads only the head of the first request, then resets its connection."""
 
     def __init__(self, *, state, **more):
         super().__init__(**more)
@@ -110,24 +113,24 @@
             head = await reader.readuntil(b"\r\n\r\n")
             if b" /v1/" not in head.partition(b"\r\n")[0]:
                 break
-            await self.answer(await _whole(head, reader), writer)
+            await self.answer(await _read_complete(head, reader), writer)
         self._state["reset"] = True
         _reset(writer)
 
 
-async def _whole(head, reader):
-    """Return a request of which the head was read already."""
-    whole = asyncio.StreamReader()
-    whole.feed_data(head)
-    whole.feed_data(await reader.readexactly(_length(head)))
-    whole.feed_eof()
-    return await read_request(whole)
+async def _read_complete(head, reader):
+    """Read the body of a request and return the complete request."""
+    stream = asyncio.StreamReader()
+    stream.feed_data(head)
+    stream.feed_data(await reader.readexactly(_length(head)))
+    stream.feed_eof()
+    return await read_request(stream)
 
 
 def _length(head):
     lines = head.decode("latin-1").lower().split("\r\n")
-    named = [x for x in lines if x.startswith("content-length:")]
-    return int(named[0].partition(":")[2]) if named else 0
+    matching = [x for x in lines if x.startswith("content-length:")]
+    return int(matching[0].partition(":")[2]) if matching else 0
 
 
 def _upstream(name, moment, state):
@@ -136,39 +139,43 @@
     return _ResettingUpstream(upstream=name, moment=moment, state=state)
 
 
-async def _play(kind, moment):
-    """Return the answer to one request, and the runs that were begun."""
+async def _run_scenario(kind, moment):
+    """Return the answer to one request, and the number of runs it caused."""
     state = {}
-    found = [_upstream(name, moment, state) for name in ("u1", "u2")]
+    standins = [_upstream(name, moment, state) for name in ("u1", "u2")]
     prefill = StandInUpstream(upstream="p1")
     async with entry_world() as world:
-        for standin in (prefill, *found):
+        for standin in (prefill, *standins):
             await standin.start()
-        for standin in found:
+        for standin in standins:
             service = "model" if kind in STREAMS else "shop"
             stage = Stage.DECODE if kind in STREAMS else None
             world.know(standin, service=service, stage=stage)
         world.know(prefill, service="model", stage=Stage.PREFILL)
         if moment is Moment.CONNECTING:
-            for standin in found:
+            for standin in standins:
                 standin.stop()
         answer = await world.ask(REQUESTS[kind])
-    runs = sum(len(standin.runs) for standin in found)
+    runs = sum(len(standin.runs) for standin in standins)
     return answer, runs + (moment is Moment.SENDING and bool(state["reset"]))
 
 
 @pytest.mark.parametrize(("kind", "moment"), CASES)
 def test_reset_has_the_outcome_of_the_table(kind, moment):
-    """Guards against a reset whose caller is told more than is proved."""
-    wanted = reset_outcome(kind, moment)
-    answer, runs = asyncio.run(_play(kind, moment))
+    """Guards against a wrong outcome at the caller after a reset.
+
+    Whether the call may have run depends on its kind and on the moment of the
+    reset.  A wrong "not run" leads the caller to run a call twice.
+    """
+    expected = reset_outcome(kind, moment)
+    answer, runs = asyncio.run(_run_scenario(kind, moment))
     status = answer[9:12]
     if moment is Moment.CONNECTING:
         assert (runs, status) == (0, b"503")
         assert b"retry-after" in answer.lower()
-    elif wanted.repeat_by is RepeatBy.NOBODY:
+    elif expected.repeat_by is RepeatBy.NOBODY:
         assert runs == 1
-        if wanted.told is Told.CUT:
+        if expected.told is Told.CUT:
             assert pieces(answer) == [1, 2]
             assert not answer.endswith(b"0\r\n\r\n")
         else:
--- a/currantdeal/entry/tests/test_subscription.py
+++ b/currantdeal/entry/tests/test_subscription.py
@@ -1,3 +1,5 @@
+"""Subscriptions of entries to control instances."""
+
 import asyncio
 from contextlib import asynccontextmanager
 
@@ -13,18 +15,18 @@
 
 
 class _Crashes:
-    """Requests that crash upstreams, as an entry knows them."""
+    """Stand-in for ``CrashWatch`` with given records."""
 
     def __init__(self, *records):
         self.records = records
-        self.taken = []
+        self.merged = []
 
-    def take(self, records):
-        self.taken.extend(records)
+    def merge(self, records):
+        self.merged.extend(records)
 
 
 @asynccontextmanager
-async def _followed(*controls, seeds, crashes=None):
+async def _subscribed(*controls, seeds, crashes=None):
     loop = asyncio.get_running_loop()
     for control in controls:
         await control.start()
@@ -59,17 +61,18 @@
             control.stop()
 
 
-def test_an_entry_moves_to_the_nearest_control_instance():
-    """All entries are given the same first addresses.
+def test_an_entry_switches_to_the_nearest_control_instance():
+    """Guards against all entries following the same control instance.
 
-    If they stayed there, one instance would carry all of them, and its loss
-    would leave every entry without news at once.
+    All entries have the same seed addresses.  If they stayed there, one
+    instance would serve all of them, and its loss would leave every entry
+    without updates at once.
     """
 
     async def run():
         far = StandInControl(data_center="dc3")
         here = StandInControl(data_center="dc1")
-        async with _followed(far, here, seeds=[far]):
+        async with _subscribed(far, here, seeds=[far]):
             await eventually(
                 lambda: here.subscribers and not far.subscribers,
                 what="move to the nearest",
@@ -79,17 +82,18 @@
     asyncio.run(run())
 
 
-def test_an_entry_stays_while_the_nearer_instance_does_not_take_it():
-    """The nearest instance has just restarted and refuses subscribers.
+def test_an_entry_keeps_its_source_while_the_nearer_one_refuses():
+    """Guards against missed updates during a switch.
 
-    An entry that left its present source for it would miss news meanwhile.
+    The nearest instance has just restarted and refuses subscriptions.  An
+    entry that left its source for it would receive no updates meanwhile.
     """
 
     async def run():
         far = StandInControl(data_center="dc3")
         here = StandInControl(data_center="dc1")
         here.accepts = False
-        async with _followed(far, here, seeds=[far]):
+        async with _subscribed(far, here, seeds=[far]):
             await eventually(lambda: far.subscribers, what="subscription")
             await asyncio.sleep(1.2)
             assert len(far.subscribers) == 1
@@ -98,11 +102,11 @@
     asyncio.run(run())
 
 
-def test_an_entry_whose_source_ends_follows_another():
+def test_an_entry_whose_source_stops_follows_another():
     async def run():
         far = StandInControl(data_center="dc3")
         here = StandInControl(data_center="dc1")
-        async with _followed(far, here, seeds=[far]):
+        async with _subscribed(far, here, seeds=[far]):
             await eventually(
                 lambda: here.subscribers,
                 what="move to the nearest",
@@ -114,39 +118,40 @@
     asyncio.run(run())
 
 
-def test_source_is_told_which_requests_crash_upstreams():
-    """Guards against control that starts anew and forgets a culprit."""
+def test_crash_records_are_sent_to_a_new_source():
+    """Guards against losing a quarantine when the control plane restarts."""
     crash = Crash(upstream="u1", started_ms=1)
     known = SuspectRecord(fingerprint=b"poison", crashes=(crash,))
-    news = SuspectRecord(fingerprint=b"other", crashes=(crash,))
+    published = SuspectRecord(fingerprint=b"other", crashes=(crash,))
 
     async def run():
         crashes = _Crashes(known)
         control = StandInControl(data_center="dc1")
-        async with _followed(control, seeds=[control], crashes=crashes):
+        async with _subscribed(control, seeds=[control], crashes=crashes):
             await eventually(
                 lambda: CrashesNotice(records=(known,)) in control.notices,
                 what="the entry's records",
             )
-            control.publish(CrashesNotice(records=(news,)))
-            await eventually(lambda: crashes.taken, what="news")
-            assert crashes.taken == [news]
+            control.publish(CrashesNotice(records=(published,)))
+            await eventually(lambda: crashes.merged, what="news")
+            assert crashes.merged == [published]
 
     asyncio.run(run())
 
 
-def test_without_a_leader_an_entry_still_hears_of_the_load():
-    """The control instances are cut apart and none reaches a majority.
+def test_without_a_leader_an_entry_subscribes_provisionally():
+    """Guards against entries without load reports while there is no leader.
 
-    An entry that followed none of them would place streams without knowing
-    what the others hold, on top of the trouble that there is.
+    The control instances are partitioned and none has a quorum.  An entry
+    that followed none of them would place streams without the load of the
+    other entries.
     """
 
     async def run():
         one = StandInControl(data_center="dc1")
         other = StandInControl(data_center="dc3")
         one.accepts = other.accepts = False
-        async with _followed(one, other, seeds=[one, other]):
+        async with _subscribed(one, other, seeds=[one, other]):
             await eventually(
                 lambda: one.subscribers, what="subscription", limit_s=8.0
             )
--- a/currantdeal/entry/tests/test_view.py
+++ b/currantdeal/entry/tests/test_view.py
@@ -1,3 +1,5 @@
+"""Views of entries: configurations, upstreams and switching engines."""
+
 import zlib
 
 from currantdeal.entry.view import EntryView
@@ -22,9 +24,10 @@
     return zlib.compress(config_body(version=version))
 
 
-def test_a_view_never_goes_back():
-    """An entry follows a control instance that lags behind the last one.
+def test_an_older_configuration_is_ignored():
+    """Guards against a return to replaced routes.
 
+    An entry switches to a control instance that lags behind the previous one.
     Requests would be handled by routes that an operator has replaced.
     """
     view = _view()
@@ -41,21 +44,22 @@
     assert view.version == 5
 
 
-def test_an_upstream_that_drains_gets_no_work():
+def test_a_draining_upstream_gets_no_work():
     view = _view()
     view.take_upstreams((an_upstream(),), complete=False)
-    assert view.takes_work("u1")
+    assert view.accepts_work("u1")
     draining = an_upstream(sequence=2, state=UpstreamState.DRAINING)
     view.take_upstreams((draining,), complete=False)
     assert view.ready("shop") == ()
-    assert not view.takes_work("u1")
+    assert not view.accepts_work("u1")
 
 
-def test_a_restarted_control_instance_takes_nothing_away():
-    """A control instance has restarted and heard only some upstreams yet.
+def test_an_incomplete_list_removes_no_upstreams():
+    """Guards against dropping upstreams after a control instance restarts.
 
-    If its list counted as whole, entries would refuse work that the others
-    could do.
+    The instance has received only some announcements yet.  If its list were
+    treated as complete, entries would refuse work that the other upstreams
+    could serve.
     """
     view = _view()
     first, second = an_upstream(), an_upstream(upstream="u2", address="a:2")
@@ -68,24 +72,24 @@
 
 def test_distance_counts_data_centre_and_region():
     view = _view()
-    found = [
+    distances = [
         view.distance(an_upstream(data_center=name))
         for name in ("dc1", "dc2", "dc3", "elsewhere")
     ]
-    assert found == [0, 1, 2, 2]
+    assert distances == [0, 1, 2, 2]
 
 
-def test_an_engine_that_switches_is_left_alone_until_it_has():
-    """An engine is ordered to do another stage.
+def test_a_switching_engine_is_omitted_until_it_announces_its_stage():
+    """Guards against wasted prefills for an engine that switches stages.
 
-    It still grants memory and then refuses what comes for it, so that every
-    prompt that is read for it is read in vain.
+    An engine that was ordered to switch still grants memory and then refuses
+    the requests for it, after their prompts were prefilled.
     """
     view = _view()
     engine = an_upstream(stage=Stage.DECODE)
     view.take_upstreams((engine,), complete=False)
     assert view.engines("shop", Stage.DECODE) == [engine]
-    view.take_switching("u1", 9.0)
+    view.note_switching("u1", 9.0)
     assert view.engines("shop", Stage.DECODE) == []
     switched = an_upstream(stage=Stage.PREFILL, sequence=2)
     view.take_upstreams((switched,), complete=False)
@@ -93,35 +97,36 @@
 
 
 def test_an_engine_that_restarts_while_it_switches_is_used_again():
-    """An engine crashes after it was ordered to do another stage.
+    """Guards against an idle engine after a crash.
 
-    The order is gone with the process; left alone for the whole time of a
-    switch, the engine idles for twenty seconds.
+    An engine crashes after it was ordered to switch stages, and the order is
+    lost with the process.  If the engine were omitted for the full switch
+    time, it would idle for twenty seconds.
     """
     view = _view()
     view.take_upstreams(
         (an_upstream(stage=Stage.DECODE, started_ms=1),), complete=False
     )
-    view.take_switching("u1", 20.0)
+    view.note_switching("u1", 20.0)
     assert view.engines("shop", Stage.DECODE) == []
     restarted = an_upstream(stage=Stage.DECODE, started_ms=2)
     view.take_upstreams((restarted,), complete=False)
     assert view.engines("shop", Stage.DECODE) == [restarted]
 
 
-def test_an_engine_found_replaced_is_told_once():
-    """Another process answers at an engine's address.
+def test_a_replaced_engine_is_reported_once():
+    """Guards against each entry wasting a prefill on a replaced engine.
 
-    Kept to itself, every other entry finds out by a prompt that is read for
-    nothing.
+    Another process answers at an engine's address.  Without a report, each
+    entry detects this only after it had a prompt prefilled.
     """
     view = _view()
     engine = an_upstream(stage=Stage.DECODE)
     view.take_upstreams((engine,), complete=False)
-    view.note_answer(engine, "u1")
-    assert view.take_replaced() == ()
-    view.note_answer(engine, "u9")
-    view.note_answer(engine, "u9")
-    (gone,) = view.take_replaced()
+    view.drop_if_replaced(engine, "u1")
+    assert view.pop_replaced() == ()
+    view.drop_if_replaced(engine, "u9")
+    view.drop_if_replaced(engine, "u9")
+    (gone,) = view.pop_replaced()
     assert (gone.upstream, gone.state) == ("u1", UpstreamState.GONE)
-    assert view.take_replaced() == ()
+    assert view.pop_replaced() == ()
--- a/currantdeal/entry/view.py
+++ b/currantdeal/entry/view.py
@@ -1,4 +1,4 @@
-"""What an entry believes: the routes in force and the upstreams there."""
+"""Holds an entry's view: the routes in force and the known upstreams."""
 
 import zlib
 
@@ -12,18 +12,19 @@
 
 
 class EntryView:
-    """The routes and upstreams that guide this entry's requests.
+    """The routes and upstreams by which an entry handles requests.
 
-    A configuration is only ever replaced by one with a higher version, and
-    upstreams are merged by their own order, so that a control instance that
-    lags behind cannot take the entry back.
+    A configuration is only replaced by one with a higher version, and the
+    records of an upstream are merged by its own start time and sequence
+    numbers.  So a control instance that lags behind cannot return the entry
+    to an older state.
 
     Parameters
     ----------
     read_config : callable
-        Decodes the operators' bytes into a ``RoutingConfig``.
+        Decodes the bytes of a configuration into a ``RoutingConfig``.
     data_center, region : str
-        Where this entry is.
+        Location of this entry.
     region_of : dict
         Region of each data centre.
     heartbeat_s : float
@@ -58,7 +59,7 @@
 
     @property
     def table(self):
-        """The ``RouteTable`` in force, or None before the first."""
+        """The ``RouteTable`` in force; None before the first configuration."""
         return self._table
 
     @property
@@ -68,7 +69,7 @@
 
     @property
     def limits(self):
-        """What callers may send."""
+        """Limits on the requests of callers."""
         return self._table.limits if self._table else CallerLimits()
 
     @property
@@ -77,14 +78,14 @@
         return round(self._clock() - self.confirmed_s, 3)
 
     def ready(self, service):
-        """Return the upstreams of a service that take work."""
+        """Return the upstreams of a service that accept work."""
         return self._by_service.get(service, ())
 
     def engines(self, service, stage):
-        """Return the engines of a service that do a stage.
+        """Return the engines of a service that serve a stage.
 
-        One that was ordered to do the other is left out until it has
-        announced that it does.
+        An engine that was ordered to switch stages is omitted until it
+        announces the new stage.
         """
         now_s = self._clock()
         return [
@@ -94,49 +95,49 @@
         ]
 
     def health_path(self, service):
-        """Return where a service answers health checks; None if unknown."""
+        """Return the health check path of a service; None if unknown."""
         services = self._table.services if self._table else ()
         paths = (s.health_path for s in services if s.name == service)
         return next(paths, None)
 
     def record(self, upstream):
-        """Return what is known of an upstream, or None."""
+        """Return the latest record of an upstream; None if it is unknown."""
         return self._registry.get(upstream)
 
-    def note_answer(self, record, answered_by):
-        """Drop an upstream at whose address another one answers.
+    def drop_if_replaced(self, record, answered_by):
+        """Drop an upstream if another one answers at its address.
 
-        It was restarted under another name, and its announcement has not
-        come yet.  Each request that is sent there until then is refused,
-        after its prompt was read elsewhere.
+        The process was restarted under another name and has not announced
+        itself yet.  Until it does, it would refuse each request that is sent
+        there, after its prompt was prefilled elsewhere.
         """
         if answered_by in ("", record.upstream):
             return
-        if self.takes_work(record.upstream):
+        if self.accepts_work(record.upstream):
             gone = self._registry.leave(record.upstream, now_s=self._clock())
             self._replaced.append(gone)
-            self._sort()
+            self._group_by_service()
             _log.info(
                 "upstream-replaced",
                 upstream=record.upstream,
                 answered_by=answered_by,
             )
 
-    def take_replaced(self):
+    def pop_replaced(self):
         """Return the upstreams found replaced since the last call."""
         replaced, self._replaced = self._replaced, []
         return tuple(replaced)
 
-    def take_switching(self, upstream, for_s):
-        """Leave an engine alone until it announces another stage."""
+    def note_switching(self, upstream, for_s):
+        """Omit an engine for a time, or until it announces another stage."""
         record = self._registry.get(upstream)
         if record is not None:
             until_s = self._clock() + for_s
             self._switching[upstream] = (record, until_s)
             _log.info("engine-switches", upstream=upstream, for_s=for_s)
 
-    def takes_work(self, upstream):
-        """Return whether an upstream may still be sent work."""
+    def accepts_work(self, upstream):
+        """Return whether an upstream accepts work."""
         record = self._registry.get(upstream)
         return record is not None and record.state is UpstreamState.READY
 
@@ -145,15 +146,15 @@
         return self.distance_to(record.data_center)
 
     def distance_to(self, data_center):
-        """Return the same for a data centre."""
-        return self._between(data_center, self._data_center)
+        """Return ``distance`` for a data centre."""
+        return self._distance(data_center, self._data_center)
 
     def distance_between(self, first, second):
-        """Return the same for two upstreams."""
-        return self._between(first.data_center, second.data_center)
+        """Return ``distance`` between two upstreams."""
+        return self._distance(first.data_center, second.data_center)
 
     def take_config(self, version, packed):
-        """Bring a committed configuration into force, if it is newer."""
+        """Apply a committed configuration if it is newer."""
         if version <= self.version:
             return
         try:
@@ -166,7 +167,7 @@
         _log.info("config-in-force", version=version, before=before)
 
     def take_upstreams(self, records, *, complete):
-        """Merge records; those not named are gone if they are complete."""
+        """Merge records; if they are complete, remove all other upstreams."""
         now_s = self._clock()
         for record in records:
             if self._registry.merge(record, now_s=now_s):
@@ -179,10 +180,10 @@
                     sequence=record.sequence,
                 )
         if complete:
-            self._drop_unnamed({r.upstream for r in records}, now_s)
-        self._sort()
+            self._remove_unlisted({r.upstream for r in records}, now_s)
+        self._group_by_service()
 
-    def _between(self, first, second):
+    def _distance(self, first, second):
         if first == second:
             return 0
         region = self._region_of.get(second, self._region)
@@ -199,13 +200,13 @@
         del self._switching[record.upstream]
         return False
 
-    def _drop_unnamed(self, named, now_s):
+    def _remove_unlisted(self, named, now_s):
         for record in self._registry.present:
             if record.upstream not in named:
                 self._registry.leave(record.upstream, now_s=now_s)
                 _log.info("upstream-dropped", upstream=record.upstream)
 
-    def _sort(self):
+    def _group_by_service(self):
         found = {}
         for record in self._registry.present:
             if record.state is UpstreamState.READY:
