--- a/currantdeal/control/__init__.py
+++ b/currantdeal/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control: the replicated configuration, the registry and the directory."""
+"""Maintains the replicated configuration, the registry and the directory."""
--- a/currantdeal/control/config_access.py
+++ b/currantdeal/control/config_access.py
@@ -1,4 +1,7 @@
-"""Changing and reading the replicated configuration, from any instance."""
+"""Changes and reads the replicated configuration from any instance.
+
+Changes and reads are forwarded to the leader if this instance is not it.
+"""
 
 import asyncio
 import zlib
@@ -11,16 +14,16 @@
 from currantdeal.node.messages import ConfigAnswer, ReadConfigCall
 
 PROPOSE_TIMEOUT_S = 2.0
-"""Time for a change to be committed: several elections."""
+"""Timeout of a change; it covers several elections."""
 
 READ_TIMEOUT_S = 0.9
-"""Time for a read; callers wait one second before they ask elsewhere."""
+"""Timeout of a read; callers retry elsewhere after one second."""
 
 _log = structlog.get_logger(__name__)
 
 
 class ConfigAccess:
-    """Reaches the leader for a change or a read.
+    """Access to the configuration by way of the leader.
 
     Parameters
     ----------
@@ -33,7 +36,7 @@
     """
 
     def __init__(self, *, replica, links, me):
-        """Keep the parts."""
+        """Use the replica and the links of this process."""
         self._replica = replica
         self._links = links
         self._me = me
@@ -41,16 +44,17 @@
     async def propose(self, call):
         """Return whether a ``ProposeConfigCall`` was committed."""
         if self._replica.leads:
-            return await self.propose_here(call)
-        answer = await self._ask_leader(call, PROPOSE_TIMEOUT_S)
+            return await self.propose_as_leader(call)
+        answer = await self._call_leader(call, PROPOSE_TIMEOUT_S)
         return answer is not None and answer.accepted
 
-    async def propose_here(self, call):
-        """Return the same, if this instance leads."""
+    async def propose_as_leader(self, call):
+        """Return whether the call was committed, without forwarding it."""
         if call.version <= self._replica.state.version:
-            # Nothing to change, but the acknowledgement must rest on what a
-            # majority holds, not on what this instance once saw.
-            answer = await self.read_here()
+            # There is nothing to change, but this replica's state may be
+            # outdated.  Only a read that a majority confirms may be
+            # acknowledged.
+            answer = await self.read_as_leader()
             if not answer.certain:
                 return False
             if call.version <= answer.version:
@@ -69,12 +73,15 @@
     async def read(self):
         """Return the newest configuration as a ``ConfigAnswer``."""
         if self._replica.leads:
-            return await self.read_here()
-        answer = await self._ask_leader(ReadConfigCall(), READ_TIMEOUT_S)
+            return await self.read_as_leader()
+        answer = await self._call_leader(ReadConfigCall(), READ_TIMEOUT_S)
         return answer or ConfigAnswer(certain=False)
 
-    async def read_here(self):
-        """Return the same, if this instance leads."""
+    async def read_as_leader(self):
+        """Return the newest configuration, without forwarding the read.
+
+        The answer is not certain if this instance is not the leader.
+        """
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 state = await self._replica.read()
@@ -83,7 +90,7 @@
         raw = zlib.decompress(state.packed) if state.version else b""
         return ConfigAnswer(certain=True, version=state.version, raw=raw)
 
-    async def _ask_leader(self, call, timeout_s):
+    async def _call_leader(self, call, timeout_s):
         leader = self._replica.node.leader
         if leader is None or leader == self._me:
             return None
--- a/currantdeal/control/crash_ledger.py
+++ b/currantdeal/control/crash_ledger.py
@@ -1,10 +1,12 @@
-"""What control knows of requests that crash upstreams, and whom it tells.
-
-Load pattern: query of death, see ``currantdeal.policy.crash_book``.  Any entry
-gets the repeats, so all must know within seconds, also while no instance
-leads, while instances are cut apart, and after they lost a disk.  Records can
-be merged in any order, so they need no leader: news is passed on at once, and
-whoever connects, or is heard again after a silence, is told everything.
+"""Replicates the records of crashing requests between control instances.
+
+Load pattern: query of death, see ``currantdeal.policy.crash_book``.  Callers
+may retry such a request at any entry, so all entries must have its record
+within seconds, also without a leader, during network partitions between
+control instances, and after a control instance has lost its disk.  Records
+can be merged in any order, so they need no leader: changes are forwarded at
+once, and an entry or instance that connects, or that is reachable again after
+a silence, receives all records.
 """
 
 import structlog
@@ -14,25 +16,27 @@
 from currantdeal.node.suspect_log import SuspectLog
 from currantdeal.policy.crash_book import CrashBook
 
-SILENT_S = 3 * HEARTBEAT_S
-"""Silence of an instance after which it may have missed news."""
+SILENCE_TIMEOUT_S = 3 * HEARTBEAT_S
+"""Silence of an instance after which it may have missed changes."""
 
-REPEAT_S = SILENT_S + HEARTBEAT_S
-"""Time for which news is repeated to the other instances.
+REPEAT_PERIOD_S = SILENCE_TIMEOUT_S + HEARTBEAT_S
+"""Time for which a changed record is sent again to the other instances.
 
-A notice is lost if its connection is; a longer loss shows as a silence.
+A notice is lost if its connection breaks.  If the connection stays down for
+longer than this, the instance counts as silent and gets all records
+afterwards.
 """
 
 _log = structlog.get_logger(__name__)
 
 
 class CrashLedger:
-    """The book of one control instance.
+    """The crash records of one control instance.
 
     Parameters
     ----------
     exchange : RecordExchange
-        Reaches the subscribers and the other instances.
+        Sends notices to the subscribers and the other instances.
     clock : callable
         Returns monotonic seconds.
     on_change : callable
@@ -40,33 +44,33 @@
     """
 
     def __init__(self, *, exchange, clock, on_change=lambda records: None):
-        """Suspect nobody."""
+        """Start without any record."""
         self._exchange = exchange
         self._clock = clock
         self._on_change = on_change
         self._book = CrashBook()
         self._suspect_log = SuspectLog(log=_log, book=self._book)
         self._recent = {}
-        self._heard_s = {}
+        self._last_heartbeat_s = {}
 
     @property
     def quarantined(self):
-        """Fingerprints of the requests that are not to be run."""
+        """Fingerprints of the requests that must not be run."""
         return self._book.quarantined
 
     def load(self, records):
-        """Take in what this instance knew before its restart."""
+        """Merge the records that were saved before a restart."""
         self._suspect_log.note(self._book.merge(records))
 
-    def take(self, notice):
-        """Take in what an entry or another instance knows, and pass it on.
+    def receive(self, notice):
+        """Merge the records of an entry or another instance and forward them.
 
-        It goes to the other instances from wherever it came: not each of them
-        may reach each other one.
+        Changes go to the other instances even if one of them sent them: in a
+        partial partition not every instance can reach every other one.
         """
         if notice.asked_by:
-            everything = CrashesNotice(records=self._book.records)
-            self._exchange.tell_one(notice.asked_by, everything)
+            all_records = CrashesNotice(records=self._book.records)
+            self._exchange.notify_one(notice.asked_by, all_records)
         changed = self._book.merge(notice.records)
         if not changed:
             return
@@ -74,39 +78,40 @@
         now_s = self._clock()
         for record in changed:
             self._recent[record.fingerprint] = (now_s, record)
-        news = CrashesNotice(records=changed)
-        self._exchange.publish(news)
-        self._exchange.tell_others(news)
+        update = CrashesNotice(records=changed)
+        self._exchange.publish(update)
+        self._exchange.notify_others(update)
         self._on_change(self._book.records)
 
-    def welcome(self, connection):
-        """Tell an entry that follows this instance from now on."""
+    def send_all(self, connection):
+        """Send all records to an entry that has subscribed."""
         if self._book:
             connection.notify(CrashesNotice(records=self._book.records))
 
-    def heard(self, sender):
-        """Note a sign of life of another instance.
+    def on_heartbeat(self, sender):
+        """Record a heartbeat of another instance.
 
-        After a silence either may have missed news, and one that starts has
-        not heard any.
+        After a silence both sides may have missed changes, and an instance
+        that has just started has received none.  So they exchange all
+        records.
         """
         now_s = self._clock()
-        before_s = self._heard_s.get(sender)
-        self._heard_s[sender] = now_s
-        if before_s is None or now_s - before_s > SILENT_S:
+        previous_s = self._last_heartbeat_s.get(sender)
+        self._last_heartbeat_s[sender] = now_s
+        if previous_s is None or now_s - previous_s > SILENCE_TIMEOUT_S:
             notice = CrashesNotice(
                 records=self._book.records, asked_by=self._exchange.me
             )
-            self._exchange.tell_one(sender, notice)
+            self._exchange.notify_one(sender, notice)
 
-    def beat(self):
-        """Repeat the latest news to the other instances."""
+    def repeat_recent(self):
+        """Send recently changed records again to the other instances."""
         now_s = self._clock()
         self._recent = {
             fingerprint: (at_s, record)
             for fingerprint, (at_s, record) in self._recent.items()
-            if now_s - at_s <= REPEAT_S
+            if now_s - at_s <= REPEAT_PERIOD_S
         }
         if self._recent:
             records = tuple(record for _, record in self._recent.values())
-            self._exchange.tell_others(CrashesNotice(records=records))
+            self._exchange.notify_others(CrashesNotice(records=records))
--- a/currantdeal/control/crash_store.py
+++ b/currantdeal/control/crash_store.py
@@ -1,4 +1,4 @@
-"""Keeps the crash book of a control instance on its disk."""
+"""Stores the crash records of a control instance on its disk."""
 
 import asyncio
 from concurrent.futures import ThreadPoolExecutor
@@ -11,10 +11,10 @@
 from currantdeal.policy.crash_book import SuspectRecord
 
 RETRY_S = 1.0
-"""Pause before a failed write is tried again."""
+"""Pause before a failed write is retried."""
 
-PAUSE_S = 0.2
-"""Pause between two writes, in which changes are gathered."""
+WRITE_INTERVAL_S = 0.2
+"""Pause between two writes; changes in between are written together."""
 
 _log = structlog.get_logger(__name__)
 
@@ -30,14 +30,15 @@
 
 
 class CrashStore:
-    """Writes the records after each change, on a thread of its own.
+    """Writes the records after each change, on a separate thread.
 
-    What is lost with one disk is known to the other instances and to entries.
+    The other instances and the entries hold copies of the records, so that
+    the loss of one disk loses none.
 
     Parameters
     ----------
     file : currantdeal.adapters.disk.StateFile
-        Holds the records.
+        File that holds the records.
     """
 
     def __init__(self, *, file):
@@ -48,7 +49,7 @@
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="crashes")
 
     def load(self):
-        """Return the records of the file; none if it cannot be read."""
+        """Return the records in the file, or none if it cannot be read."""
         try:
             raw = self._file.read()
             return _CODEC.decode(raw).records if raw else ()
@@ -57,12 +58,12 @@
             return ()
 
     def save(self, records):
-        """Have records written soon."""
+        """Schedule the records for writing."""
         self._records = records
         self._changed.set()
 
     async def run(self):
-        """Write, until cancelled."""
+        """Write changed records until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await self._changed.wait()
@@ -70,7 +71,7 @@
             raw = _CODEC.encode(SavedCrashes(records=self._records))
             try:
                 await loop.run_in_executor(self._thread, self._file.write, raw)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(WRITE_INTERVAL_S)
             except DiskError as exc:
                 _log.error("crashes-unsaved", why=str(exc))
                 self._changed.set()
--- a/currantdeal/control/demand_book.py
+++ b/currantdeal/control/demand_book.py
@@ -1,4 +1,4 @@
-"""The demand that all entries measure, as one control instance knows it."""
+"""Aggregates the demand that all entries measure, at one control instance."""
 
 import zlib
 
@@ -8,18 +8,19 @@
 from currantdeal.policy.demand import Demand, DemandWindow, busy_engines
 
 DEMAND_WINDOW_S = 15.0
-"""Time over which demand is measured."""
+"""Length of the sliding window over which demand is summed."""
 
 _log = structlog.get_logger(__name__)
 
 
 class DemandBook:
-    """Demand by service, and what is needed to judge it.
+    """Demand by service, and the engine traits that convert it into load.
 
     Parameters
     ----------
     read_config : callable
-        Decodes the operators' bytes into a ``RoutingConfig``.
+        Decodes the bytes of an operator's configuration into a
+        ``RoutingConfig``.
     clock : callable
         Returns monotonic seconds.
     """
@@ -29,26 +30,30 @@
         self._read_config = read_config
         self._clock = clock
         self._reported = {}
-        self._demand = {}
-        self._traits = {}
+        self._windows = {}
+        self._engine_traits = {}
 
-    def note_config(self, packed):
-        """Take the traits of engines from a configuration."""
+    def update_config(self, packed):
+        """Read the traits of engines from a compressed configuration."""
         try:
             config = self._read_config(zlib.decompress(packed))
         except DialectError as exc:
             _log.error("config-unreadable", why=str(exc))
             return
-        self._traits = {
+        self._engine_traits = {
             service.name: service.engine
             for service in config.services
             if service.engine is not None
         }
 
     def busy(self, service):
-        """Return the engines that the demand of a service keeps busy."""
-        window = self._demand.get(service)
-        traits = self._traits.get(service)
+        """Return how many engines the demand of a service keeps busy.
+
+        None if the service has no engine traits, or if its demand has not
+        been measured for a whole window yet.
+        """
+        window = self._windows.get(service)
+        traits = self._engine_traits.get(service)
         now_s = self._clock()
         if window is None or traits is None:
             return None
@@ -61,24 +66,32 @@
         )
 
     def switch_s(self, service):
-        """Return the time that an engine of a service needs to switch."""
-        traits = self._traits.get(service)
+        """Return the time an engine of a service needs to switch stages."""
+        traits = self._engine_traits.get(service)
         return traits.switch_s if traits is not None else 0.0
 
-    def take(self, demands, *, reported_here):
-        """Add demand that entries reported, here or to another instance."""
+    def record(self, demands, *, reported_here):
+        """Add demand that entries reported to this or another instance.
+
+        Parameters
+        ----------
+        demands : dict
+            Demand of each service.
+        reported_here : bool
+            True if an entry reported it to this instance.
+        """
         now_s = self._clock()
         for service, demand in demands.items():
-            window = self._demand.get(service)
+            window = self._windows.get(service)
             if window is None:
                 window = DemandWindow(window_s=DEMAND_WINDOW_S)
-                self._demand[service] = window
+                self._windows[service] = window
             window.add(demand, now_s=now_s)
             if reported_here:
                 before = self._reported.get(service, Demand())
                 self._reported[service] = before + demand
 
     def take_reported(self):
-        """Return the demand that was reported here since the last call."""
+        """Return what was reported to this instance since the last call."""
         reported, self._reported = self._reported, {}
         return reported
--- a/currantdeal/control/deployment_state.py
+++ b/currantdeal/control/deployment_state.py
@@ -1,8 +1,8 @@
-"""The replicated state of a deployment: the newest configuration.
+"""Holds the replicated state of a deployment: its newest configuration.
 
 A command carries a whole configuration.  One with a higher version replaces
-the one held; any other changes nothing, and is acknowledged all the same,
-because its sender may be repeating a change whose acknowledgement was lost.
+the current one.  Any other changes nothing but is acknowledged as well,
+because its sender may be retrying a change whose acknowledgement was lost.
 """
 
 from dataclasses import dataclass
@@ -12,12 +12,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SetConfig:
-    """Command: bring a configuration into force.
+    """Command that replaces the configuration.
 
     Parameters
     ----------
+    version : int
+        Version of the configuration.
     packed : bytes
-        The operators' own bytes, compressed with zlib.
+        The configuration as the operator sent it, compressed with zlib.
     """
 
     version: int
@@ -26,14 +28,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DeploymentState:
-    """What every replica holds after the same commands.
+    """The state that every replica computes from the same commands.
 
     Parameters
     ----------
     index : int
-        Log index of the last command that was applied.
+        Log index of the last entry that was applied.
     version : int
         Version of the configuration; 0 before the first.
+    packed : bytes
+        The configuration, compressed with zlib.
 
     Examples
     --------
@@ -48,7 +52,7 @@
     packed: bytes = b""
 
     def after(self, index, command):
-        """Return the state after a command."""
+        """Return the state after an entry; its command may be None."""
         if command is None or command.version <= self.version:
             return DeploymentState(
                 index=index, version=self.version, packed=self.packed
--- a/currantdeal/control/directory.py
+++ b/currantdeal/control/directory.py
@@ -1,28 +1,28 @@
-"""Which entries a caller is told to connect to.
+"""Chooses the entries that a caller may connect to.
 
-Callers keep an answer for seconds and pick an address at random.  They are
-given the nearest entries, but at least three where there are as many, so
-that the loss of one leaves each caller another choice; without that, a zone
-with a single entry loses all its callers at once when the entry fails.
+Callers cache an answer for seconds and pick an address at random.  They get
+the nearest entries, but at least three if there are that many, so that each
+caller has another choice when one entry fails.  Otherwise a zone with a
+single entry would lose all its callers at once when that entry fails.
 """
 
 import bisect
 
 MIN_CHOICES = 3
-"""Addresses a caller gets at least: one may be lost and one may be busy."""
+"""Minimum number of addresses: one may have failed and one may be busy."""
 
 MAX_CHOICES = 64
-"""Addresses a caller gets at most; more would not be used."""
+"""Maximum number of addresses; callers would not use more."""
 
-SILENT_AFTER_S = 1.6
-"""Silence after which an entry is left out: three missed heartbeats."""
+SILENCE_TIMEOUT_S = 1.6
+"""Silence after which an entry is not chosen: three missed heartbeats."""
 
-FORGET_AFTER_S = 30.0
-"""Silence after which an entry is forgotten."""
+EXPIRY_S = 30.0
+"""Silence after which the record of an entry is removed."""
 
 
 class EntryDirectory:
-    """Entries by their heartbeats.
+    """Records of entries, kept up to date by their heartbeats.
 
     Examples
     --------
@@ -37,24 +37,24 @@
     def __init__(self):
         """Start without any entry."""
         self._records = {}
-        self._heard_s = {}
+        self._last_heartbeat_s = {}
 
     @property
     def records(self):
         """All records."""
         return tuple(self._records.values())
 
-    def knows(self, instance):
-        """Return whether an entry has a record."""
+    def contains(self, instance):
+        """Return whether there is a record of an entry."""
         return instance in self._records
 
     def merge(self, record, *, now_s):
-        """Take in a heartbeat and return whether it brought news."""
+        """Merge a heartbeat; returns whether the entry is new or changed."""
         known = self._records.get(record.instance)
         if known is not None and record.order <= known.order:
             return False
         self._records[record.instance] = record
-        self._heard_s[record.instance] = now_s
+        self._last_heartbeat_s[record.instance] = now_s
         return (
             known is None
             or known.ready != record.ready
@@ -62,28 +62,29 @@
             or known.started_ms != record.started_ms
         )
 
-    def heard(self, instance, started_ms, sequence, *, now_s):
-        """Note a heartbeat that another control instance received."""
+    def on_heartbeat(self, instance, started_ms, sequence, *, now_s):
+        """Record a heartbeat that another control instance received."""
         known = self._records.get(instance)
         if known is None or known.started_ms != started_ms:
             return
         if sequence > known.sequence:
-            self._heard_s[instance] = now_s
+            self._last_heartbeat_s[instance] = now_s
 
     def live(self, *, now_s):
-        """Return the ready entries that were heard lately."""
+        """Return the ready entries with a recent heartbeat."""
         return tuple(
             record
             for name, record in self._records.items()
-            if record.ready and now_s - self._heard_s[name] <= SILENT_AFTER_S
+            if record.ready
+            and now_s - self._last_heartbeat_s[name] <= SILENCE_TIMEOUT_S
         )
 
     def expire(self, *, now_s):
-        """Forget the entries that have been silent for long."""
+        """Remove the records of entries that have been silent for long."""
         for name in tuple(self._records):
-            if now_s - self._heard_s[name] > FORGET_AFTER_S:
+            if now_s - self._last_heartbeat_s[name] > EXPIRY_S:
                 del self._records[name]
-                del self._heard_s[name]
+                del self._last_heartbeat_s[name]
 
     def choose(self, region, data_center, *, now_s, current):
         """Return the addresses for a caller, nearest first.
@@ -91,8 +92,8 @@
         Parameters
         ----------
         current : bool
-            False when this control instance may have missed heartbeats;
-            silent entries are then named too, because a wrong address costs
+            False when this control instance may have missed heartbeats.
+            Then silent entries are included, because a wrong address costs
             a caller one attempt and an empty answer costs it the request.
         """
         live = self.live(now_s=now_s)
@@ -106,7 +107,7 @@
             if len(chosen) >= MIN_CHOICES:
                 break
             chosen.extend(group)
-        return tuple(r.address for r in _spread(chosen, data_center))
+        return tuple(r.address for r in _limit_choices(chosen, data_center))
 
 
 def _distance(record, region, data_center):
@@ -115,7 +116,7 @@
     return 1 if record.region == region else 2
 
 
-def _spread(records, data_center):
+def _limit_choices(records, data_center):
     if len(records) <= MAX_CHOICES:
         return records
     names = [record.instance for record in records]
--- a/currantdeal/control/errors.py
+++ b/currantdeal/control/errors.py
@@ -1,4 +1,4 @@
-"""Errors of control."""
+"""Defines the errors of control."""
 
 from currantdeal.core.errors import CurrantdealError
 
@@ -8,8 +8,8 @@
 
 
 class NotCommittedError(ControlError):
-    """A change may or may not come into force; it can be sent again."""
+    """The outcome of a change is unknown; it is safe to retry."""
 
 
 class NotCertainError(ControlError):
-    """Nobody here can tell which configuration is the newest."""
+    """The newest configuration cannot be determined by this replica."""
--- a/currantdeal/control/exchange.py
+++ b/currantdeal/control/exchange.py
@@ -1,7 +1,7 @@
-"""Records of upstreams and entries, kept alike at all control instances.
+"""Keeps records of upstreams and entries in sync at all control instances.
 
-News is spread at once and confirmed; renewing heartbeats are spread in
-batches without an answer.
+Changed records are sent to the other instances at once, and confirmed.
+Heartbeats that change nothing are sent in batches and not confirmed.
 """
 
 import asyncio
@@ -25,16 +25,16 @@
 from currantdeal.registry import UpstreamRegistry
 
 FETCH_TIMEOUT_S = 1.0
-"""Time for another control instance to send all its records."""
+"""Timeout of fetching all records of another control instance."""
 
 SPREAD_TIMEOUT_S = 0.4
-"""Time for other control instances to confirm that an upstream leaves."""
+"""Timeout of other control instances' confirmation of changed records."""
 
 _log = structlog.get_logger(__name__)
 
 
 class RecordExchange:
-    """The registry, the directory and who is told of their news.
+    """The registry, the directory and the receivers of their changes.
 
     Parameters
     ----------
@@ -43,7 +43,7 @@
     control : callable
         Returns the peer addresses of all control instances.
     voters : callable
-        Returns those of them that count towards a majority.
+        Returns the peer addresses of the voters among them.
     links : callable
         Returns the ``PeerLink`` to an address.
     heartbeat_s : float
@@ -63,14 +63,14 @@
         self.registry = UpstreamRegistry(heartbeat_s=heartbeat_s)
         self.directory = EntryDirectory()
         self.subscribers = set()
-        self._renewed = {}
+        self._renewed_upstreams = {}
         self._renewed_entries = {}
         self._fetching = set()
         self._tasks = set()
 
     @property
     def places(self):
-        """The control instances, and where they are as far as is known."""
+        """The control instances, with their data centres where known."""
         return tuple(
             ControlPlace(
                 address=address,
@@ -81,16 +81,19 @@
 
     @property
     def all_records(self):
-        """Everything known, for an instance that knows less."""
+        """All records, for an instance that lacks some of them."""
         return SpreadCall(
             upstreams=self.registry.records, entries=self.directory.records
         )
 
     def merge_upstream(self, record):
-        """Take in a heartbeat; returns whether it brought news."""
+        """Merge an upstream's heartbeat; returns whether it changed a record.
+
+        A heartbeat that changes nothing is kept for ``spread_renewals``.
+        """
         now_s = self._clock()
-        news = self.registry.merge(record, now_s=now_s)
-        if news:
+        changed = self.registry.merge(record, now_s=now_s)
+        if changed:
             _log.info(
                 "upstream-changed",
                 upstream=record.upstream,
@@ -99,30 +102,30 @@
                 stage=record.stage.value if record.stage else "",
                 sequence=record.sequence,
             )
-            self._publish((record,))
+            self._publish_upstreams((record,))
         else:
-            self._renewed[record.upstream] = Renewal(
+            self._renewed_upstreams[record.upstream] = Renewal(
                 name=record.upstream,
                 started_ms=record.started_ms,
                 sequence=record.sequence,
             )
-        return news
+        return changed
 
     def leave(self, upstream):
-        """Note that an upstream left; returns its record, or None."""
+        """Mark an upstream as gone; returns its record, or None."""
         gone = self.registry.leave(upstream, now_s=self._clock())
         if gone is not None:
-            self._publish((gone,))
+            self._publish_upstreams((gone,))
         return gone
 
-    def take_replaced(self, records):
-        """Take in that upstreams are gone, as an entry found out."""
-        news = tuple(r for r in records if self.merge_upstream(r))
-        if news:
-            self._in_background(self.spread(upstreams=news))
+    def report_replaced(self, records):
+        """Merge the records of upstreams that an entry found replaced."""
+        changed = tuple(r for r in records if self.merge_upstream(r))
+        if changed:
+            self._in_background(self.spread(upstreams=changed))
 
-    def take_entry(self, record):
-        """Take in the heartbeat of an entry that follows this instance."""
+    def merge_entry(self, record):
+        """Merge the heartbeat of an entry that subscribes to this instance."""
         if self.directory.merge(record, now_s=self._clock()):
             _log.info(
                 "entry-changed", entry=record.instance, ready=record.ready
@@ -135,15 +138,15 @@
                 sequence=record.sequence,
             )
 
-    def take_spread(self, call):
-        """Take in a ``SpreadCall`` of another instance."""
+    def merge_spread(self, call):
+        """Merge the records of another instance's ``SpreadCall``."""
         for record in call.upstreams:
             self.merge_upstream(record)
         for record in call.entries:
             self.directory.merge(record, now_s=self._clock())
 
-    def take_renewals(self, notice):
-        """Take in the renewing heartbeats that another instance got."""
+    def merge_renewals(self, notice):
+        """Merge the batch of heartbeats that another instance received."""
         now_s = self._clock()
         self._data_centers[notice.sender] = notice.data_center
         self._fetch_unknown(notice)
@@ -152,98 +155,99 @@
                 renewal.name, renewal.started_ms, renewal.sequence, now_s=now_s
             )
         for renewal in notice.entries:
-            self.directory.heard(
+            self.directory.on_heartbeat(
                 renewal.name, renewal.started_ms, renewal.sequence, now_s=now_s
             )
 
     def spread_renewals(self, demand):
-        """Tell the other control instances what came here.
+        """Send the heartbeats received here to the other control instances.
 
         Parameters
         ----------
         demand : dict
-            Demand of each service that entries reported here.
+            Demand of each service that entries reported to this instance.
         """
         notice = RenewalsNotice(
             sender=self.me,
             data_center=self._data_centers[self.me],
             demand=demand,
-            upstreams=tuple(self._renewed.values()),
+            upstreams=tuple(self._renewed_upstreams.values()),
             entries=tuple(self._renewed_entries.values()),
         )
-        self._renewed = {}
+        self._renewed_upstreams = {}
         self._renewed_entries = {}
         if notice.upstreams or notice.entries:
-            self.tell_others(notice)
+            self.notify_others(notice)
 
     async def spread(self, *, upstreams=(), entries=()):
-        """Spread news; returns whether a majority has confirmed it.
+        """Send changed records; returns whether a majority confirmed them.
 
-        All are told, but only the voters of the replica set count.  An
-        instance that still starts, beside one that is gone, would raise the
-        majority above what can answer, and no upstream could leave.
+        They go to all control instances, but only the voters of the replica
+        set count.  If an instance that is still starting counted in addition
+        to the failed one it replaces, fewer than a majority might be able to
+        answer, and no upstream could leave.
         """
         call = SpreadCall(upstreams=upstreams, entries=entries)
-        others = self._others()
+        others = self._other_addresses()
         answers = await asyncio.gather(
-            *(self._confirm(address, call) for address in others)
+            *(self._request_confirmation(address, call) for address in others)
         )
         confirmed = {self.me}
         confirmed.update(itertools.compress(others, answers))
         voters = set(self._voters())
         return len(voters & confirmed) > len(voters) // 2
 
-    def tell_switching(self, upstream, for_s):
-        """Have all entries leave an engine alone while it switches."""
+    def announce_switching(self, upstream, for_s):
+        """Have all entries send no work to an engine while it switches."""
         notice = SwitchingNotice(upstream=upstream, for_s=for_s)
         self.publish(notice)
-        self.tell_others(notice)
+        self.notify_others(notice)
 
-    def pass_on(self, connection, notice):
-        """Pass a notice of an entry on to all entries, at once."""
+    def relay(self, connection, notice):
+        """Forward a notice of one entry to all entries without delay."""
         self.publish(notice)
         if connection in self.subscribers:
-            self.tell_others(notice)
+            self.notify_others(notice)
 
-    def tell_others(self, notice):
+    def notify_others(self, notice):
         """Send a notice to the other control instances."""
-        for address in self._others():
+        for address in self._other_addresses():
             self._links(address).notify(notice)
 
-    def tell_one(self, address, notice):
+    def notify_one(self, address, notice):
         """Send a notice to one other control instance."""
         self._links(address).notify(notice)
 
     def publish(self, message):
-        """Send a notice to the entries that follow this instance."""
+        """Send a notice to the entries that subscribe to this instance."""
         self.publish_frame(pack_frame(FrameKind.NOTICE, 0, message))
 
     def publish_frame(self, frame):
-        """Send a packed frame to the entries that follow this instance."""
+        """Send a packed frame to the entries that subscribe to this one."""
         for connection in self.subscribers:
             connection.send_packed(frame)
 
     def expire(self):
-        """Forget who has been silent."""
+        """Remove the records of silent upstreams and entries."""
         now_s = self._clock()
         self.directory.expire(now_s=now_s)
         for record in self.registry.expire(now_s=now_s):
             _log.info("upstream-forgotten", upstream=record.upstream)
 
-    def _publish(self, records):
+    def _publish_upstreams(self, records):
         self.publish(UpstreamsNotice(upstreams=records))
 
     def _fetch_unknown(self, notice):
-        """Fetch the records of a sender who renews what is not known here.
+        """Fetch all records of a sender that renews a record missing here.
 
-        That is so after a restart, and on an instance that joined after the
-        news was spread.
+        Records are missing after a restart, and on an instance that joined
+        after they were sent.
         """
         unknown = any(
             self.registry.get(renewal.name) is None
             for renewal in notice.upstreams
         ) or any(
-            not self.directory.knows(renewal.name)
+            not self.directory.contains(renewal.name)
             for renewal in notice.entries
         )
         if unknown and notice.sender not in self._fetching:
@@ -259,17 +263,17 @@
             return
         finally:
             self._fetching.discard(address)
-        self.take_spread(found)
+        self.merge_spread(found)
 
     def _in_background(self, work):
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _others(self):
+    def _other_addresses(self):
         return [address for address in self._control() if address != self.me]
 
-    async def _confirm(self, address, call):
+    async def _request_confirmation(self, address, call):
         try:
             answer = await self._links(address).call(
                 call, timeout_s=SPREAD_TIMEOUT_S
--- a/currantdeal/control/membership.py
+++ b/currantdeal/control/membership.py
@@ -1,13 +1,14 @@
-"""How control instances become replicas and stop being ones.
+"""Adds control instances to the replica set and removes them from it.
 
 At the first start of a deployment the instances that every settings file
-names begin as the replica set.  All others, and those that find their disk
-empty later, ask to join: a replica that forgot its votes must not count
-before it has learned again, or two leaders could be elected in one term and
-an acknowledged change would go away.
-
-One that is told to stop asks to leave.  If it is to be replaced, it does not
-return, and the others could not spare it once one more is lost.
+names form the replica set.  All others, and those whose disk is empty at a
+later start, request to join.  A replica that has lost its votes must not vote
+before it has caught up: otherwise two leaders could be elected in one term
+and an acknowledged change would be lost.
+
+An instance that is stopped requests to leave.  If it is being replaced, it
+does not return; left as a voter, it would cost the others their majority as
+soon as one more of them fails.
 """
 
 import asyncio
@@ -26,62 +27,73 @@
 from currantdeal.node.messages import Done, JoinCall, LeaveCall
 
 JOIN_INTERVAL_S = 0.4
-"""Pause between attempts to join."""
+"""Pause between join requests."""
 
 JOIN_TIMEOUT_S = 0.6
-"""Time for a control instance to answer an attempt."""
+"""Timeout of a request to join or to leave."""
 
 LEAVE_INTERVAL_S = 0.1
-"""Pause between attempts to leave."""
+"""Pause between leave requests."""
 
-LEAVE_LIMIT_S = 1.5
-"""Time for which an instance that stops asks to leave: a few elections."""
+LEAVE_TIMEOUT_S = 1.5
+"""Time for which a stopping instance requests to leave: a few elections."""
 
-UNANSWERED_INTERVAL_S = 5.0
-"""Pause between two lines that say that nobody takes this instance in."""
+UNANSWERED_LOG_INTERVAL_S = 5.0
+"""Pause between log lines that report that no join request succeeded."""
 
 _log = structlog.get_logger(__name__)
 
 
 class Membership:
-    """Joins this instance to the replica set and takes others in.
+    """Joins this instance to the replica set, and admits and removes others.
 
     Parameters
     ----------
+    me : str
+        Peer address of this instance.
     replica : currantdeal.control.replica.Replica
         The replica of this process.
     links : callable
         Returns the ``PeerLink`` to an address.
     first_set : callable
-        Returns the peer addresses that the settings name.
+        Returns the peer addresses of the first replica set, as the settings
+        name them.
+    clock : callable
+        Returns monotonic seconds.
     """
 
     def __init__(self, *, me, replica, links, first_set, clock):
-        """Keep the parts."""
+        """Send no request before ``step`` or ``leave``."""
         self._me = me
         self._replica = replica
         self._links = links
         self._first_set = first_set
         self._clock = clock
-        self._led_s = clock()
-        self._unanswered_told_s = clock()
-        self._leaves = False
+        self._last_leader_s = clock()
+        self._unanswered_logged_s = clock()
+        self._is_leaving = False
 
     @property
     def control_addresses(self):
-        """Peer addresses of the control instances known."""
+        """Peer addresses of all known control instances."""
         members = self._replica.node.configuration.members
         found = tuple(member.address for member in members)
         return found or self._first_set()
 
     @property
     def voter_addresses(self):
-        """Those of them that count towards a majority."""
+        """Peer addresses of the voters of the replica set."""
         voters = self._replica.node.configuration.voters
         return tuple(v.address for v in voters) or self._first_set()
 
     def begin(self, *, first_start):
-        """Begin the first replica set, if this is the very first start."""
+        """Bootstrap the first replica set at the first start of a deployment.
+
+        Parameters
+        ----------
+        first_start : bool
+            True if the settings mark this start as the first one.
+        """
         node = self._replica.node
         seeds = self._first_set()
         if first_start and node.blank and node.is_fresh and self._me in seeds:
@@ -92,15 +104,15 @@
             self._replica.bootstrap(Configuration(voters=voters))
 
     async def step(self):
-        """Ask to join, if this instance should take part and does not."""
+        """Request to join, unless this instance is a member or is leaving."""
         node = self._replica.node
         now_s = self._clock()
         if node.leader is not None:
-            self._led_s = now_s
-        settled = not node.blank and takes_part(
-            node.configuration, self._me, alone_s=now_s - self._led_s
+            self._last_leader_s = now_s
+        is_member = not node.blank and takes_part(
+            node.configuration, self._me, alone_s=now_s - self._last_leader_s
         )
-        if self._leaves or settled:
+        if self._is_leaving or is_member:
             return
         call = JoinCall(instance=self._me, address=self._me, blank=node.blank)
         known = (*self.control_addresses, *self._first_set())
@@ -118,38 +130,42 @@
             if answer.accepted:
                 return
             answers[address] = "refused"
-        self._tell_unanswered(answers, blank=node.blank)
+        self._log_unanswered(answers, blank=node.blank)
 
     async def on_join(self, call):
-        """Take an instance in, or pass its call on to the leader."""
+        """Admit an instance, or forward its request to the leader."""
         node = self._replica.node
         if node.role is not RaftRole.LEADER:
             return await self._forward(call)
         joining = Replica(instance=call.instance, address=call.address)
         now_s = self._clock()
         known = joining in node.configuration.members
-        taken = self._replica.change(
+        is_accepted = self._replica.change(
             lambda n: n.join(joining, blank=call.blank, now_s=now_s)
         )
-        if taken and not (known and not call.blank):
+        if is_accepted and not (known and not call.blank):
             _log.info("replica-joins", replica=call.instance, blank=call.blank)
-        return Done(accepted=taken)
+        return Done(accepted=is_accepted)
 
     async def leave(self):
-        """Ask not to count any more, if this instance can be spared.
+        """Request removal from the replica set, if that is possible.
 
-        It can't where it is one of an odd number and nobody stands by.
+        A voter of a set of odd size is not removed while there is no learner
+        to take its place.
         """
-        self._leaves = True
-        ends_s = self._clock() + LEAVE_LIMIT_S
-        while self._may_give_way and self._clock() < ends_s:
-            if await self._ask_to_leave():
+        self._is_leaving = True
+        deadline_s = self._clock() + LEAVE_TIMEOUT_S
+        while self._may_leave and self._clock() < deadline_s:
+            if await self._request_leave():
                 _log.info("replica-left", replica=self._me)
                 return
             await asyncio.sleep(LEAVE_INTERVAL_S)
 
     def on_leave(self, call):
-        """Let an instance that stops give way, if this one leads."""
+        """Start the removal of a stopping instance, if this one leads.
+
+        The answer is positive once the removal is committed.
+        """
         node = self._replica.node
         try:
             left = node.leave(call.instance, self._clock())
@@ -158,11 +174,11 @@
         return Done(accepted=left)
 
     @property
-    def _may_give_way(self):
+    def _may_leave(self):
         configuration = self._replica.node.configuration
         return may_give_way(configuration, self._me)
 
-    async def _ask_to_leave(self):
+    async def _request_leave(self):
         leader = self._replica.node.leader
         if leader is None or leader == self._me:
             return False
@@ -174,16 +190,16 @@
             return False
         return answer.accepted
 
-    def _tell_unanswered(self, answers, *, blank):
+    def _log_unanswered(self, answers, *, blank):
         now_s = self._clock()
-        if now_s - self._unanswered_told_s < UNANSWERED_INTERVAL_S:
+        if now_s - self._unanswered_logged_s < UNANSWERED_LOG_INTERVAL_S:
             return
-        self._unanswered_told_s = now_s
+        self._unanswered_logged_s = now_s
         _log.warning(
             "join-unanswered",
             answers=answers,
             blank=blank,
-            alone_s=round(now_s - self._led_s, 3),
+            alone_s=round(now_s - self._last_leader_s, 3),
         )
 
     async def _forward(self, call):
--- a/currantdeal/control/orders.py
+++ b/currantdeal/control/orders.py
@@ -1,11 +1,11 @@
-"""Orders to engines, from one holder at a time.
-
-Only the leader of the replicated log gives orders, under its term as the
-fencing number.  A new leader first waits out the time in which orders of the
-one before may still be on their way, and every order is preceded by a round
-that shows that no later leader has been elected.  Two holders that give
-orders by turns would switch engines back and forth; one would notice it as a
-pool that loses an engine every few seconds.
+"""Orders engines to switch stages, from one control instance at a time.
+
+Only the leader of the replicated log sends orders, with its term as the
+fencing number.  A new leader first waits until orders of its predecessor can
+no longer be in flight, and before each order a round of heartbeats confirms
+that no later leader has been elected.  Two instances that send orders in
+turns would switch engines back and forth, and the pool would lose an engine
+every few seconds.
 """
 
 import asyncio
@@ -24,93 +24,96 @@
 )
 from currantdeal.registry import Stage, UpstreamState
 
-STEP_S = 0.5
-"""Interval at which the split is looked at."""
+PLAN_INTERVAL_S = 0.5
+"""Interval at which the split of each service is planned again."""
 
 ORDER_TIMEOUT_S = 1.0
 
-EXTRA_PAUSE_S = 0.5
-"""Wait of a new leader beyond the agreed time between two holders."""
+HANDOVER_MARGIN_S = 0.5
+"""Wait of a new leader in addition to the agreed pause between holders."""
 
 SWITCH_MARGIN_S = 14.0
 """Time beyond the switch for streams to end and for the next heartbeat.
 
-An engine that is still changing grants memory and refuses what comes for it,
-so the time covers the longest streams.  Entries take it back sooner, when it
-announces its new stage.
+An engine that is still switching grants memory, but then refuses the requests
+that it was granted for.  The time therefore covers the longest streams.
+Entries use the engine again earlier if it announces its new stage before.
 """
 
-REFUSED_REST_S = 5.0
-"""Time for which other engines are preferred to one that took no order."""
+REFUSAL_BACKOFF_S = 5.0
+"""Time for which other engines are preferred to one that refused an order."""
 
-QUIET_S = 1.5
-"""Time without a new engine before the split is judged.
+QUIET_PERIOD_S = 1.5
+"""Time without a new engine before the split is planned.
 
-At a start the engines announce themselves within one heartbeat.
+When a deployment starts, all engines announce themselves within one
+heartbeat.
 """
 
-RESTART_S = 4.0
-"""Time for an engine that was lost to be announced again.
+RESTART_GRACE_S = 4.0
+"""Time for a lost engine to be announced again before it is replaced.
 
-It restarts under another name, and may first announce itself to control
-instances that are cut off.  The order for a substitute would take one more
-engine away.
+It restarts under another name, and its first announcements may reach only
+control instances that are partitioned from this one.  Ordering a substitute
+would take one more engine away from its stage.
 """
 
-ACCEPTED_LATER = 202
-ACCEPTED = (200, ACCEPTED_LATER)
+SWITCH_STARTED = 202
+ACCEPTED = (200, SWITCH_STARTED)
 FENCED = 412
 
 _log = structlog.get_logger(__name__)
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Ordered:
-    """An order that an engine has accepted.
+class _PendingOrder:
+    """An order that an engine has accepted and not yet carried out.
 
     Parameters
     ----------
+    stage : Stage
+        The stage to switch to.
     started_ms : int
-        Start of the engine's process; a restart forgets its orders.
-    until_s : float
+        Start of the engine's process; orders do not survive its restart.
+    deadline_s : float
         Time by which it should have been carried out.
     """
 
     stage: Stage
     started_ms: int
-    until_s: float
+    deadline_s: float
 
     def is_pending(self, record, *, now_s):
-        """Return whether an engine is still to carry it out."""
-        if record is None or now_s >= self.until_s:
+        """Return whether the engine has yet to carry it out."""
+        if record is None or now_s >= self.deadline_s:
             return False
         same = record.started_ms == self.started_ms
         return same and record.stage is not self.stage
 
 
 class StageOrders:
-    """Keeps the engines of every service split as planned.
+    """Splits the engines of every service into stages as planned.
 
     Parameters
     ----------
     me : str
-        Name of this instance as a holder.
+        Name of this instance as the holder in its orders.
     replica : Replica
-        Tells who leads.
+        The replica of this process; only the leader sends orders.
     exchange : RecordExchange
-        Knows the engines, and reaches the entries.
+        Records of the engines, and the way to notify the entries.
     demand : DemandBook
-        Knows what generations ask of them.
+        Demand of generations for each service.
     pool : ConnectionPool
-        Connections to them.
+        Connections to the engines.
     dialect : currantdeal.node.dialect.UpstreamDialect
         Format of orders.
     pause_s : float
-        Agreed time between the orders of two holders.
+        Agreed pause between the orders of two holders.
     clock : callable
         Returns monotonic seconds.
     held : callable
-        Returns the tokens that entries hold at each engine, by name.
+        Returns the tokens that entries hold at each engine, by its name.
     """
 
     def __init__(
@@ -126,45 +129,45 @@
         clock,
         held=dict,
     ):
-        """Give no order before ``run``."""
+        """Send no order before ``run``."""
         self._me = me
         self._replica = replica
         self._exchange = exchange
         self._demand = demand
         self._pool = pool
         self._dialect = dialect
-        self._pause_s = pause_s + EXTRA_PAUSE_S
+        self._pause_s = pause_s + HANDOVER_MARGIN_S
         self._clock = clock
-        self._held = held
+        self._held_tokens = held
         self._fenced_term = 0
-        self._seen = set()
-        self._quiet_from_s = clock() + QUIET_S
-        self._ordered_s = {}
-        self._ordered = {}
-        self._refused = {}
+        self._known_processes = set()
+        self._quiet_until_s = clock() + QUIET_PERIOD_S
+        self._last_order_s = {}
+        self._pending = {}
+        self._refused_until_s = {}
 
     async def run(self):
-        """Keep the split, until cancelled."""
+        """Plan and adjust the split until cancelled."""
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(PLAN_INTERVAL_S)
             await self._step()
 
     async def _step(self):
         now_s = self._clock()
         present = self._engines()
-        self._note_engines(present, now_s)
+        self._track_engines(present, now_s)
         if not self._may_order(now_s):
             return
-        self._forget_done(present, now_s)
+        self._drop_finished(present, now_s)
         for service in {record.service: None for record in present.values()}:
             engines = [
-                self._as_ordered(record)
+                self._with_pending_order(record)
                 for record in present.values()
                 if record.service == service
             ]
-            last_s = self._ordered_s.get(service, -CHANGE_PAUSE_S)
+            last_s = self._last_order_s.get(service, -CHANGE_PAUSE_S)
             if lacks_stage(engines) or now_s - last_s >= CHANGE_PAUSE_S:
-                await self._split(service, engines)
+                await self._adjust_split(service, engines)
 
     def _may_order(self, now_s):
         node = self._replica.node
@@ -172,15 +175,18 @@
             return False
         if now_s - node.elected_s < self._pause_s:
             return False
-        return now_s >= self._quiet_from_s
+        return now_s >= self._quiet_until_s
 
-    async def _split(self, service, engines):
+    async def _adjust_split(self, service, engines):
         busy = self._demand.busy(service)
         plan = plan_stages(
-            engines, busy=busy, held=self._held(), avoided=self._refused
+            engines,
+            busy=busy,
+            held=self._held_tokens(),
+            avoided=self._refused_until_s,
         )
-        asked = self._ordered.keys() | self._refused.keys()
-        changes = [c for c in plan if c.upstream not in asked]
+        excluded = self._pending.keys() | self._refused_until_s.keys()
+        changes = [c for c in plan if c.upstream not in excluded]
         if not changes:
             return
         _log.info(
@@ -194,65 +200,71 @@
         records = {r.upstream: r for r in engines}
         for change in changes:
             if self._replica.node.term == self._fenced_term:
-                # An engine knows a later holder; the others would too.
+                # An engine has an order with a later fencing number, so the
+                # others may have one, too.
                 return
-            await self._order(records[change.upstream], change.stage)
+            await self._send_order(records[change.upstream], change.stage)
 
-    def _as_ordered(self, record):
-        """Return an engine as it will be once it has carried its order out."""
-        order = self._ordered.get(record.upstream)
+    def _with_pending_order(self, record):
+        """Return the record that an engine will have after its order."""
+        order = self._pending.get(record.upstream)
         return record if order is None else replace(record, stage=order.stage)
 
-    def _forget_done(self, present, now_s):
-        """Forget orders that were carried out, or never will be."""
-        for name, order in tuple(self._ordered.items()):
+    def _drop_finished(self, present, now_s):
+        """Drop orders that were carried out or timed out, and old refusals."""
+        for name, order in tuple(self._pending.items()):
             if not order.is_pending(present.get(name), now_s=now_s):
-                del self._ordered[name]
-        for name, until_s in tuple(self._refused.items()):
-            if now_s >= until_s:
-                del self._refused[name]
+                del self._pending[name]
+        for name, deadline_s in tuple(self._refused_until_s.items()):
+            if now_s >= deadline_s:
+                del self._refused_until_s[name]
 
-    def _note_accepted(self, record, stage):
+    def _record_accepted(self, record, stage):
         now_s = self._clock()
-        self._ordered_s[record.service] = now_s
-        for_s = self._demand.switch_s(record.service) + SWITCH_MARGIN_S
-        self._ordered[record.upstream] = _Ordered(
-            stage=stage, started_ms=record.started_ms, until_s=now_s + for_s
+        self._last_order_s[record.service] = now_s
+        duration_s = self._demand.switch_s(record.service) + SWITCH_MARGIN_S
+        self._pending[record.upstream] = _PendingOrder(
+            stage=stage,
+            started_ms=record.started_ms,
+            deadline_s=now_s + duration_s,
         )
-        # Meanwhile the engine still grants memory and then refuses what
-        # comes for it, after the prompt was read elsewhere.
-        self._exchange.tell_switching(record.upstream, for_s)
+        # Until the engine has switched, it still grants memory, and refuses
+        # the request only after its prompt was prefilled elsewhere.
+        self._exchange.announce_switching(record.upstream, duration_s)
 
     def _engines(self):
-        """Return the engines that take work, by name."""
+        """Return the engines that accept work, by name."""
         return {
             record.upstream: record
             for record in self._exchange.registry.present
             if record.state is UpstreamState.READY and record.stage is not None
         }
 
-    def _note_engines(self, present, now_s):
-        """Wait a while after engines came or were lost.
+    def _track_engines(self, present, now_s):
+        """Delay planning for a while after engines appeared or were lost.
 
-        One that announced that it drains is known to be leaving for good, so
-        that nothing needs to be waited for.
+        An engine that announced that it drains does not return, so planning
+        need not wait for it.
         """
-        seen = {
+        processes = {
             (record.upstream, record.started_ms) for record in present.values()
         }
         wait_s = 0.0
-        if seen - self._seen:
-            wait_s = QUIET_S
-        if any(self._is_lost(name) for name, _ in self._seen - seen):
-            wait_s = RESTART_S
-        self._quiet_from_s = max(self._quiet_from_s, now_s + wait_s)
-        self._seen = seen
+        if processes - self._known_processes:
+            wait_s = QUIET_PERIOD_S
+        if any(
+            self._is_lost(name)
+            for name, _ in self._known_processes - processes
+        ):
+            wait_s = RESTART_GRACE_S
+        self._quiet_until_s = max(self._quiet_until_s, now_s + wait_s)
+        self._known_processes = processes
 
     def _is_lost(self, upstream):
         record = self._exchange.registry.get(upstream)
         return record is None or record.state is UpstreamState.GONE
 
-    async def _order(self, record, stage):
+    async def _send_order(self, record, stage):
         try:
             await self._replica.read()
         except NotCertainError:
@@ -272,14 +284,17 @@
             status = head.status
         except ExchangeError as exc:
             status = str(exc)
-        if status == ACCEPTED_LATER:
-            self._note_accepted(record, stage)
+        if status == SWITCH_STARTED:
+            self._record_accepted(record, stage)
         elif status not in ACCEPTED:
-            # It restarted or cannot be reached.  Another engine is ordered
-            # next: a pool without one stage serves nobody in time.
-            self._refused[record.upstream] = self._clock() + REFUSED_REST_S
+            # The engine has restarted or is unreachable.  Another one is
+            # ordered next: a pool that lacks a stage serves no request in
+            # time.
+            self._refused_until_s[record.upstream] = (
+                self._clock() + REFUSAL_BACKOFF_S
+            )
         if status == FENCED:
-            # Another holder has given orders under a later number.
+            # Another holder has sent orders with a later fencing number.
             self._fenced_term = term
         _log.info(
             "stage-ordered",
--- a/currantdeal/control/replica.py
+++ b/currantdeal/control/replica.py
@@ -1,8 +1,8 @@
-"""One replica of the log on the event loop, with its disk on a thread.
+"""Runs one replica of the log on the event loop, and its disk on a thread.
 
-A disk may take seconds for a sync.  The replica stands still meanwhile, so
-that nothing is answered before it is durable and the other replicas elect a
-leader whose disk works; everything else in the process goes on.
+A disk sync may take seconds.  The replica blocks until it completes, so that
+nothing is acknowledged before it is durable, and so that the other replicas
+elect a leader whose disk works.  The rest of the process keeps running.
 """
 
 import asyncio
@@ -28,29 +28,29 @@
 from currantdeal.control.replica_watch import ReplicaWatch
 
 TICK_S = 0.05
-"""Interval at which timeouts are looked at; a third of a heartbeat."""
+"""Interval at which timeouts are checked; a third of the default heartbeat."""
 
 DISK_RETRY_S = 0.2
-"""Pause before a full disk is tried again."""
+"""Pause before a write to a full disk is retried."""
 
-COMPACT_BYTES = 4_194_304
-"""Length of the log on disk that calls for a snapshot."""
+COMPACTION_BYTES = 4_194_304
+"""Size of the log on disk from which it is compacted into a snapshot."""
 
 KEEP_ENTRIES = 64
-"""Entries kept before a snapshot, for replicas that lag a little."""
+"""Entries kept before a snapshot, for replicas that are slightly behind."""
 
 _log = structlog.get_logger(__name__)
 
 
 class Replica:
-    """Runs one replica.
+    """One replica of the log and the state machine that it feeds.
 
     Parameters
     ----------
     me : InstanceId
-        Its name in the replica set: its peer address.
+        Name of the replica in the replica set: its peer address.
     folder : DataFolder
-        Its durable state.
+        Durable state of the replica.
     node_settings : NodeSettings
         Intervals of the log (``currantdeal.consensus.NodeSettings``).
     random : random.Random
@@ -58,15 +58,15 @@
     clock : callable
         Returns monotonic seconds.
     send : callable
-        Takes messages for other replicas.
+        Called with messages for other replicas.
     on_state : callable
-        Told of every state that is applied.
+        Called with each new state after entries were applied.
     """
 
     def __init__(
         self, *, me, folder, node_settings, random, clock, send, on_state
     ):
-        """Start from what the folder holds."""
+        """Restore the state that is stored in the folder."""
         self._folder = folder
         self._clock = clock
         self._send = send
@@ -79,52 +79,55 @@
             random=random,
             now_s=clock(),
         )
-        self.state = _state_of(stored.snapshot)
+        self.state = _decode_snapshot(stored.snapshot)
         self._inbox = []
-        self._wanted = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._proposals = {}
-        self._barriers = []
+        self._pending_reads = []
         self._watch = ReplicaWatch(clock=clock)
         self._disk = ThreadPoolExecutor(1, thread_name_prefix="disk")
 
     @property
     def leads(self):
-        """True on a leader that has applied all that was committed before."""
+        """True on a leader that has applied all earlier committed entries."""
         return self.node.is_ready
 
     @property
     def knows_leader(self):
-        """True while this replica leads or has heard the leader lately."""
+        """True while this replica leads or is in contact with the leader."""
         return self.node.leader is not None and not self.node.blank
 
     def deliver(self, messages):
-        """Take messages from another replica."""
+        """Queue messages that were received from another replica."""
         self._inbox.extend(MESSAGE_CODEC.decode(raw) for raw in messages)
-        self._wanted.set()
+        self._wakeup.set()
 
     def bootstrap(self, configuration):
-        """Begin the very first replica set."""
+        """Start the first replica set of the deployment."""
         self.node.bootstrap(configuration)
-        self._wanted.set()
+        self._wakeup.set()
 
-    def change(self, ask):
-        """Run a change of the replica set; returns whether it was taken."""
+    def change(self, change_node):
+        """Call a function that changes the replica set.
+
+        Returns False if the node rejected the change.
+        """
         try:
-            ask(self.node)
+            change_node(self.node)
         except InvariantError:
             raise
         except ConsensusError:
             return False
-        self._wanted.set()
+        self._wakeup.set()
         return True
 
     async def propose(self, command):
-        """Return when a command is committed and applied.
+        """Propose a command; returns when it is committed and applied.
 
         Raises
         ------
         NotCommittedError
-            If that cannot be told; the command may still come into force.
+            If the outcome is unknown; the command may still be committed.
         """
         raw = DEPLOYMENT_CODEC.encode(command)
         try:
@@ -133,51 +136,52 @@
             raise NotCommittedError(str(exc)) from exc
         future = asyncio.get_running_loop().create_future()
         self._proposals[entry.index] = (entry.term, future)
-        self._wanted.set()
+        self._wakeup.set()
         await future
 
     async def read(self):
-        """Return the newest state.
+        """Return the newest state (a linearizable read).
 
-        A quorum must have answered a heartbeat that this leader sent after
-        the call; otherwise a later leader may have changed the state, and a
-        reader would see a change go away that was acknowledged.
+        A quorum must first answer a heartbeat that this leader sent after
+        the call.  Otherwise a later leader may already have changed the
+        state, and the caller would not see an acknowledged change.
 
         Raises
         ------
         NotCertainError
-            If this replica does not lead, or stops leading meanwhile.
+            If this replica is not the leader, or loses leadership before
+            the quorum has answered.
         """
         if not self.leads:
             raise NotCertainError("not the leader")
         future = asyncio.get_running_loop().create_future()
-        self._barriers.append((self._clock(), future))
+        self._pending_reads.append((self._clock(), future))
         await future
         return self.state
 
     async def run(self):
-        """Run until cancelled, or until the disk fails for good."""
+        """Run until cancelled, or until a disk write fails permanently."""
         while True:
-            await self._wait()
+            await self._wait_for_work()
             now_s = self._clock()
             self.node.tick(now_s)
             inbox, self._inbox = self._inbox, []
             for message in inbox:
                 self.node.receive(message, now_s)
-            while await self._carry_out():
+            while await self._process_output():
                 pass
-            self._settle()
+            self._update_waiters()
             await self._compact_if_due()
 
-    async def _wait(self):
-        if not self._wanted.is_set():
+    async def _wait_for_work(self):
+        if not self._wakeup.is_set():
             loop = asyncio.get_running_loop()
-            timer = loop.call_later(TICK_S, self._wanted.set)
-            await self._wanted.wait()
+            timer = loop.call_later(TICK_S, self._wakeup.set)
+            await self._wakeup.wait()
             timer.cancel()
-        self._wanted.clear()
+        self._wakeup.clear()
 
-    async def _carry_out(self):
+    async def _process_output(self):
         output = self.node.take_output()
         self._send(output.early)
         if output.writes:
@@ -185,7 +189,7 @@
         self.node.synced(output.last_index)
         self._send(output.messages)
         if output.installed is not None:
-            self.state = _state_of(output.installed)
+            self.state = _decode_snapshot(output.installed)
         for entry in output.committed:
             self._apply(entry)
         if output.installed is not None or output.committed:
@@ -194,23 +198,23 @@
 
     async def _save(self, writes):
         loop = asyncio.get_running_loop()
-        refused = False
+        is_full = False
         while True:
             try:
                 await loop.run_in_executor(
                     self._disk, self._folder.save, writes
                 )
             except DiskFullError as exc:
-                if not refused:
-                    refused = True
+                if not is_full:
+                    is_full = True
                     _log.error("disk-lost", reason=str(exc))
-                self._fail_waiting("the disk is full")
+                self._fail_pending("the disk is full")
                 await asyncio.sleep(DISK_RETRY_S)
                 continue
             except DiskError as exc:
                 _log.error("disk-failed", reason=str(exc))
                 raise
-            if refused:
+            if is_full:
                 _log.info("disk-regained")
             return
 
@@ -233,43 +237,45 @@
         if term == entry.term:
             future.set_result(None)
         else:
-            future.set_exception(NotCommittedError("another entry came"))
+            future.set_exception(
+                NotCommittedError("another entry was committed in its place")
+            )
 
-    def _settle(self):
+    def _update_waiters(self):
         if self.node.role is not RaftRole.LEADER:
-            self._fail_waiting("leadership was lost")
-        if self._barriers:
-            self._release_barriers()
-        self._watch.look(self.node)
+            self._fail_pending("leadership was lost")
+        if self._pending_reads:
+            self._complete_reads()
+        self._watch.log_changes(self.node)
 
-    def _release_barriers(self):
+    def _complete_reads(self):
         if not self.leads:
-            self._fail_barriers("leadership was lost")
+            self._fail_reads("leadership was lost")
             return
         acked_s = self.node.quorum_acked_s(self._clock())
         waiting = []
-        for since_s, future in self._barriers:
-            if acked_s > since_s and not future.done():
+        for started_s, future in self._pending_reads:
+            if acked_s > started_s and not future.done():
                 future.set_result(None)
             elif not future.done():
-                waiting.append((since_s, future))
-        self._barriers = waiting
+                waiting.append((started_s, future))
+        self._pending_reads = waiting
 
-    def _fail_waiting(self, reason):
-        self._fail_barriers(reason)
+    def _fail_pending(self, reason):
+        self._fail_reads(reason)
         for _, future in self._proposals.values():
             if not future.done():
                 future.set_exception(NotCommittedError(reason))
         self._proposals.clear()
 
-    def _fail_barriers(self, reason):
-        for _, future in self._barriers:
+    def _fail_reads(self, reason):
+        for _, future in self._pending_reads:
             if not future.done():
                 future.set_exception(NotCertainError(reason))
-        self._barriers = []
+        self._pending_reads = []
 
     async def _compact_if_due(self):
-        if self._folder.segment_bytes < COMPACT_BYTES:
+        if self._folder.segment_bytes < COMPACTION_BYTES:
             return
         if self.state.index <= self.node.base_index + KEEP_ENTRIES:
             return
@@ -278,10 +284,10 @@
             data=DEPLOYMENT_CODEC.encode(self.state),
             keep=KEEP_ENTRIES,
         )
-        await self._carry_out()
+        await self._process_output()
 
 
-def _state_of(snapshot):
+def _decode_snapshot(snapshot):
     if snapshot is None or not snapshot.data:
         return DeploymentState()
     return DEPLOYMENT_CODEC.decode(snapshot.data)
--- a/currantdeal/control/replica_watch.py
+++ b/currantdeal/control/replica_watch.py
@@ -1,20 +1,21 @@
-"""Tells when a replica changes its mind about the leader or the replica set.
+"""Logs each change of the leader and of the replica set that a replica sees.
 
-While nobody leads, no change can be made and new entries get no routes.  The
-lines say which replicas count, how many must agree and who does: whoever
-reads them sees whether replicas are missing, or are there and disagree.
+Without a leader no change can be committed and new entries get no routes.
+The log lines name the voters, the size of the quorum and the replicas that
+granted their votes, so that an operator can tell unreachable replicas from
+reachable ones that vote for different candidates.
 """
 
 import structlog
 
 NO_LEADER_INTERVAL_S = 5.0
-"""Time without a leader after which a line tells of it, and then again."""
+"""Time without a leader after which a line is logged, and then repeated."""
 
 _log = structlog.get_logger(__name__)
 
 
 class ReplicaWatch:
-    """Looks at one replica of the log, and logs what is new.
+    """Compares successive states of one replica and logs the differences.
 
     Parameters
     ----------
@@ -23,32 +24,32 @@
     """
 
     def __init__(self, *, clock):
-        """Start with nothing told."""
+        """Start with an unknown leader and replica set."""
         self._clock = clock
         self._leader = None
         self._replica_set = None
         self._set_change = None
-        self._led_s = clock()
-        self._told_s = self._led_s
-        self._votes = ()
+        self._last_leader_s = clock()
+        self._last_logged_s = self._last_leader_s
+        self._most_votes = ()
 
-    def look(self, node):
-        """Log what differs from the last look at a ``Node``."""
+    def log_changes(self, node):
+        """Log what changed in a ``Node`` since the last call."""
         if node.leader != self._leader:
-            self._tell_leader(node)
+            self._log_leader(node)
         replica_set = (node.configuration, node.change_pending)
         if replica_set != self._replica_set:
             self._replica_set = replica_set
-            self._tell_replica_set(node)
+            self._log_replica_set(node)
         if node.set_change is not self._set_change:
-            self._tell_set_change(node)
+            self._log_set_change(node)
         if node.leader is not None:
-            self._led_s = self._told_s = self._clock()
-            self._votes = ()
+            self._last_leader_s = self._last_logged_s = self._clock()
+            self._most_votes = ()
         else:
-            self._note_no_leader(node)
+            self._log_no_leader(node)
 
-    def _tell_leader(self, node):
+    def _log_leader(self, node):
         self._leader = node.leader
         _log.info(
             "leader-changed",
@@ -57,7 +58,7 @@
             role=node.role.value,
         )
 
-    def _tell_replica_set(self, node):
+    def _log_replica_set(self, node):
         _log.info(
             "replica-set-changed",
             **_replica_set(node.configuration),
@@ -66,7 +67,7 @@
             committed=not node.change_pending,
         )
 
-    def _tell_set_change(self, node):
+    def _log_set_change(self, node):
         self._set_change = node.set_change
         _log.info(
             "replica-set-adapted",
@@ -75,25 +76,26 @@
             **_replica_set(node.set_change.configuration),
         )
 
-    def _note_no_leader(self, node):
-        # A round of votes begins anew before its answers could be told, so
-        # the best of the last rounds is kept.
-        self._votes = max(self._votes, node.votes, key=len)
+    def _log_no_leader(self, node):
+        # A new round of votes resets the votes of the one before, often
+        # before a line is due.  The round with the most votes since the last
+        # line is reported.
+        self._most_votes = max(self._most_votes, node.votes, key=len)
         now_s = self._clock()
-        if now_s - self._told_s < NO_LEADER_INTERVAL_S:
+        if now_s - self._last_logged_s < NO_LEADER_INTERVAL_S:
             return
-        self._told_s = now_s
+        self._last_logged_s = now_s
         _log.warning(
             "no-leader",
-            for_s=round(now_s - self._led_s, 3),
+            for_s=round(now_s - self._last_leader_s, 3),
             **_replica_set(node.configuration),
-            votes=self._votes,
+            votes=self._most_votes,
             role=node.role.value,
             term=node.term,
             index=node.last_index,
             blank=node.blank,
         )
-        self._votes = ()
+        self._most_votes = ()
 
 
 def _replica_set(configuration):
--- a/currantdeal/control/service.py
+++ b/currantdeal/control/service.py
@@ -1,4 +1,8 @@
-"""A control instance: what its callers and the other instances ask of it."""
+"""Handles the calls and notices that a control instance receives.
+
+They come from callers, upstreams and operators over HTTP, and from entries
+and other control instances over peer connections.
+"""
 
 from functools import singledispatchmethod
 
@@ -39,16 +43,16 @@
 from currantdeal.registry import UpstreamState
 from currantdeal.routing import InvalidConfigError, check_config
 
-DIRECTORY_KEEP_S = 4.0
-"""Time for which callers may keep the directory's answer.
+DIRECTORY_TTL_S = 4.0
+"""Time for which callers may cache an answer of the directory.
 
-Each look-up is a chance to meet a control instance that does not answer, and
-costs its caller a second then.  An entry that stops or fails meanwhile costs
-one connection that is refused, after which its callers choose another.
+Each look-up may reach a control instance that does not answer, which costs
+the caller a second.  An entry that stops or fails while its address is cached
+costs one refused connection, after which its callers choose another one.
 """
 
-SETTLED_S = 8.0
-"""Time after its start from which an instance has heard every upstream."""
+REGISTRY_COMPLETE_S = 8.0
+"""Time after its start in which an instance receives all upstream records."""
 
 _JSON = (b"content-type", b"application/json")
 _RETRY = (b"retry-after", b"0.3")
@@ -56,12 +60,12 @@
 
 
 class ControlService:
-    """Answers callers, upstreams, operators and other instances.
+    """Dispatches calls and notices to the parts of a control instance.
 
     Parameters
     ----------
     dialect : currantdeal.node.dialect.ControlDialect
-        Formats of the calls from outside.
+        Formats of the HTTP calls.
     replica : Replica
         The replicated configuration.
     membership : Membership
@@ -71,9 +75,9 @@
     exchange : RecordExchange
         The records of upstreams and entries.
     demand : DemandBook
-        What entries measure.
+        Demand that entries measure.
     crashes : CrashLedger
-        Requests that crash upstreams.
+        Records of requests that crash upstreams.
     clock : callable
         Returns monotonic seconds.
     """
@@ -90,7 +94,7 @@
         crashes,
         clock,
     ):
-        """Keep the parts."""
+        """Start without subscribers and without a configuration."""
         self._crashes = crashes
         self._dialect = dialect
         self._replica = replica
@@ -100,20 +104,20 @@
         self._demand = demand
         self._clock = clock
         self._started_s = clock()
-        self._passed_on = 0
+        self._published_version = 0
         self._config_frame = None
         self._loads = LoadBook()
-        self._load_told = None
-        self._load_told_s = 0.0
+        self._last_load = None
+        self._last_load_s = 0.0
 
     @property
     def current(self):
-        """True while this instance is in touch with the leader."""
+        """True while this instance leads or is in contact with the leader."""
         return self._replica.knows_leader
 
     @property
     def sizes(self):
-        """Numbers of upstreams, entries and subscribers, by their names."""
+        """Numbers of upstreams, entries and subscribers, by metric name."""
         live = self._exchange.directory.live(now_s=self._clock())
         return {
             "upstreams": len(self._exchange.registry.present),
@@ -122,76 +126,77 @@
         }
 
     @property
-    def _is_settled(self):
-        return self._clock() - self._started_s > SETTLED_S
+    def _registry_is_complete(self):
+        return self._clock() - self._started_s > REGISTRY_COMPLETE_S
 
     async def handle_http(self, request, responder):
-        """Answer one call from outside."""
+        """Answer one HTTP call of a caller, an upstream or an operator."""
         operation = self._dialect.read_operation(request.head)
         if operation is None:
             self._answer(responder, 404, "no such call")
             return
         try:
-            await self._operate(operation, request, responder)
+            await self._handle_operation(operation, request, responder)
         except DialectError as exc:
             _log.info("call-refused", target=request.head.target, why=str(exc))
             self._answer(responder, 400, str(exc))
 
     def on_state(self, state):
-        """Pass a committed configuration on to the subscribers."""
-        if state.version == self._passed_on:
+        """Publish a newly committed configuration to the subscribers."""
+        if state.version == self._published_version:
             return
-        self._passed_on = state.version
-        self._demand.note_config(state.packed)
+        self._published_version = state.version
+        self._demand.update_config(state.packed)
         notice = ConfigNotice(version=state.version, packed=state.packed)
         self._config_frame = pack_frame(FrameKind.NOTICE, 0, notice)
         self._exchange.publish_frame(self._config_frame)
 
     def on_notice(self, connection, message):
-        """Take in what another instance says."""
-        self._take_notice(message, connection)
+        """Handle a notice of an entry or another control instance."""
+        self._handle_notice(message, connection)
 
     async def on_call(self, connection, message):
-        """Answer another instance."""
-        return await self._take_call(message, connection)
+        """Answer a call of an entry or another control instance."""
+        return await self._handle_call(message, connection)
 
     def on_lost(self, connection):
-        """Forget a subscriber."""
+        """Remove a subscriber whose connection was lost."""
         self._exchange.subscribers.discard(connection)
         self._loads.drop_entry(connection)
 
     @property
     def held(self):
-        """Tokens that entries hold at each engine, by name."""
+        """Tokens that entries hold at each engine, by its name."""
         return self._loads.total(now_s=self._clock()).held
 
     def tell_loads(self):
-        """Pass on what entries hold at engines.
+        """Publish the tokens that entries hold at engines.
 
-        Other control instances get the sum over the entries that report
-        here, when it changed and with each heartbeat.  Entries get the sum
-        over all each time: how fresh it is tells them whether to believe it.
+        The other control instances receive the sum over the entries that
+        report to this one, when it changes and with each heartbeat.  Entries
+        receive the sum over all entries at every call, because they use it
+        only while it is fresh.
         """
         now_s = self._clock()
         here = self._loads.here(now_s=now_s)
-        if here != self._load_told or now_s - self._load_told_s > HEARTBEAT_S:
-            self._load_told = here
-            self._load_told_s = now_s
-            self._exchange.tell_others(self._load_notice(here))
+        if here != self._last_load or now_s - self._last_load_s > HEARTBEAT_S:
+            self._last_load = here
+            self._last_load_s = now_s
+            self._exchange.notify_others(self._load_notice(here))
         total = self._loads.total(now_s=now_s)
         self._exchange.publish(self._load_notice(total))
 
     def beat(self):
-        """Tell the others what is new, and forget who is silent."""
-        self._tell_subscribers()
+        """Send the periodic notices and expire silent records."""
+        self._notify_subscribers()
         self._exchange.spread_renewals(self._demand.take_reported())
-        self._crashes.beat()
+        self._crashes.repeat_recent()
         self._exchange.expire()
 
     def _load_notice(self, load):
         return LoadNotice(sender=self._exchange.me, load=load)
 
-    def _take_load(self, connection, message):
+    def _record_load(self, connection, message):
         now_s = self._clock()
         if connection in self._exchange.subscribers:
             self._loads.take_entry(connection, message.load, now_s=now_s)
@@ -199,53 +204,53 @@
             self._loads.take_control(message.sender, message.load, now_s=now_s)
 
     @singledispatchmethod
-    def _take_notice(self, notice, connection):
+    def _handle_notice(self, notice, connection):
         _log.warning("notice-unknown", kind=type(notice).__name__)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: RaftNotice, connection):
         self._replica.deliver(notice.messages)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: RenewalsNotice, connection):
-        self._crashes.heard(notice.sender)
-        self._demand.take(notice.demand, reported_here=False)
-        self._exchange.take_renewals(notice)
+        self._crashes.on_heartbeat(notice.sender)
+        self._demand.record(notice.demand, reported_here=False)
+        self._exchange.merge_renewals(notice)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: LoadNotice, connection):
-        self._take_load(connection, notice)
+        self._record_load(connection, notice)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: SwitchingNotice, connection):
         self._exchange.publish(notice)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: CrashesNotice, connection):
-        self._crashes.take(notice)
+        self._crashes.receive(notice)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: ReadingNotice, connection):
-        self._exchange.pass_on(connection, notice)
+        self._exchange.relay(connection, notice)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: UpstreamsNotice, connection):
-        self._exchange.take_replaced(notice.upstreams)
+        self._exchange.report_replaced(notice.upstreams)
 
-    @_take_notice.register
+    @_handle_notice.register
     def _(self, notice: EntryNotice, connection):
-        self._demand.take(notice.demand, reported_here=True)
-        self._exchange.take_entry(notice.entry)
+        self._demand.record(notice.demand, reported_here=True)
+        self._exchange.merge_entry(notice.entry)
 
     @singledispatchmethod
-    async def _operate(self, operation, request, responder):
+    async def _handle_operation(self, operation, request, responder):
         raise TypeError(f"not an operation: {operation!r}")
 
-    @_operate.register
+    @_handle_operation.register
     async def _(self, operation: AskReady, request, responder):
         self._answer(responder, 200, "ready")
 
-    @_operate.register
+    @_handle_operation.register
     async def _(self, operation: FindEntries, request, responder):
         addresses = self._exchange.directory.choose(
             operation.region,
@@ -256,40 +261,42 @@
         if not addresses:
             self._answer(responder, 503, "no entry is known yet")
             return
-        body = self._dialect.directory_answer(addresses, DIRECTORY_KEEP_S)
+        body = self._dialect.directory_answer(addresses, DIRECTORY_TTL_S)
         responder.answer(200, (_JSON,), body)
 
-    @_operate.register
+    @_handle_operation.register
     async def _(self, operation: Announce, request, responder):
         record = self._dialect.read_announcement(
             operation.upstream, request.body
         )
-        news = self._exchange.merge_upstream(record)
+        changed = self._exchange.merge_upstream(record)
         leaving = record.state is not UpstreamState.READY
-        if news or leaving:
-            # An acknowledged leave bounds the time for which entries may
-            # still send work there, so they must be on their way to know.
+        if changed or leaving:
+            # After an acknowledged leave, entries send work to the upstream
+            # for a bounded time only.  So a majority must have the record
+            # first, from which all entries receive it.
             confirmed = await self._exchange.spread(upstreams=(record,))
             if leaving and not confirmed:
-                self._answer(responder, 503, "not known to a majority")
+                self._answer(responder, 503, "not confirmed by a majority")
                 return
         responder.answer(200, (_JSON,), b"{}")
 
-    @_operate.register
+    @_handle_operation.register
     async def _(self, operation: Leave, request, responder):
         gone = self._exchange.leave(operation.upstream)
-        if gone is None and not self._is_settled:
-            # The others may know the upstream and go on sending work there;
-            # it asks one of them next.
-            self._answer(responder, 503, "not known here yet")
+        if gone is None and not self._registry_is_complete:
+            # Other control instances may have a record of the upstream, and
+            # their entries would go on sending work there.  The refusal makes
+            # it retry at one of them.
+            self._answer(responder, 503, "no record of the upstream here yet")
             return
         known = gone is not None
         if known and not await self._exchange.spread(upstreams=(gone,)):
-            self._answer(responder, 503, "not known to a majority")
+            self._answer(responder, 503, "not confirmed by a majority")
             return
         responder.answer(200, (_JSON,), b"{}")
 
-    @_operate.register
+    @_handle_operation.register
     async def _(self, operation: PutConfig, request, responder):
         config = self._dialect.read_config(request.body)
         try:
@@ -304,52 +311,57 @@
         if accepted:
             responder.answer(200, (_JSON,), b"{}")
         else:
-            self._answer(responder, 503, "the change may not be in force")
+            self._answer(
+                responder, 503, "outcome unknown: the change can be retried"
+            )
 
-    @_operate.register
+    @_handle_operation.register
     async def _(self, operation: GetConfig, request, responder):
         answer = await self._config.read()
         if not answer.certain:
-            self._answer(responder, 503, "not certain of the newest version")
+            self._answer(
+                responder, 503, "the newest version cannot be determined"
+            )
         elif not answer.version:
             self._answer(responder, 404, "there is no configuration yet")
         else:
             responder.answer(200, (_JSON,), answer.raw)
 
     @singledispatchmethod
-    async def _take_call(self, call, connection):
+    async def _handle_call(self, call, connection):
         raise TypeError(f"not a call: {call!r}")
 
-    @_take_call.register
+    @_handle_call.register
     async def _(self, call: JoinCall, connection):
         return await self._membership.on_join(call)
 
-    @_take_call.register
+    @_handle_call.register
     async def _(self, call: LeaveCall, connection):
         return self._membership.on_leave(call)
 
-    @_take_call.register
+    @_handle_call.register
     async def _(self, call: ProposeConfigCall, connection):
-        return Done(accepted=await self._config.propose_here(call))
+        return Done(accepted=await self._config.propose_as_leader(call))
 
-    @_take_call.register
+    @_handle_call.register
     async def _(self, call: ReadConfigCall, connection):
-        return await self._config.read_here()
+        return await self._config.read_as_leader()
 
-    @_take_call.register
+    @_handle_call.register
     async def _(self, call: SpreadCall, connection):
-        self._exchange.take_spread(call)
+        self._exchange.merge_spread(call)
         return Done(accepted=True)
 
-    @_take_call.register
+    @_handle_call.register
     async def _(self, call: RecordsCall, connection):
         return self._exchange.all_records
 
-    @_take_call.register
+    @_handle_call.register
     async def _(self, call: SubscribeCall, connection):
         if not (self.current or call.provisional):
-            # While the control instances are cut apart, entries ask each of
-            # them in turn; sending all records each time would fill links.
+            # During a partition between control instances, entries try each
+            # of them in turn.  Sending all records each time would saturate
+            # the links.
             return Done(accepted=False)
         self._exchange.subscribers.add(connection)
         _log.info(
@@ -358,13 +370,14 @@
             holds=call.config_version,
             version=self._replica.state.version,
         )
-        self._exchange.take_entry(call.entry)
-        # Before the routes, so that it serves nothing that it should refuse.
-        self._crashes.welcome(connection)
+        self._exchange.merge_entry(call.entry)
+        # Sent before the upstreams and the configuration, so that the entry
+        # runs no quarantined request.
+        self._crashes.send_all(connection)
         connection.notify(
             UpstreamsNotice(
                 upstreams=self._exchange.registry.records,
-                complete=self._is_settled and self.current,
+                complete=self._registry_is_complete and self.current,
             )
         )
         newer = self._replica.state.version > call.config_version
@@ -372,7 +385,7 @@
             connection.send_packed(self._config_frame)
         return Done(accepted=True)
 
-    def _tell_subscribers(self):
+    def _notify_subscribers(self):
         live = self._exchange.directory.live(now_s=self._clock())
         notice = SourceNotice(
             current=self.current,
--- a/currantdeal/control/tests/builders.py
+++ b/currantdeal/control/tests/builders.py
@@ -1,4 +1,4 @@
-"""Control replicas in one process, joined by a network of a test's making."""
+"""Runs control replicas in one process over a simulated network."""
 
 import asyncio
 import random
@@ -19,39 +19,39 @@
 from currantdeal.node.messages import JoinCall
 
 FAST = NodeSettings(heartbeat_s=0.03, election_s=0.15)
-"""Intervals that let a test see an election in half a second."""
+"""Intervals with which an election takes half a second."""
 
 LIMIT_S = 20.0
-"""Time for all that a test does with a group."""
+"""Timeout of everything that a test does with a group."""
 
 
 def a_change(version, content=b"config"):
-    """Return the command that brings a configuration."""
+    """Return a command that replaces the configuration."""
     return SetConfig(version=version, packed=zlib.compress(content))
 
 
 class ReplicaGroup:
-    """Replicas and the paths between them.
+    """Replicas and the links between them.
 
     Parameters
     ----------
     folder : pathlib.Path
-        Gets one data folder for each replica.
+        Parent of the replicas' data folders.
     names : iterable of str
         Names of the replicas.
     """
 
     def __init__(self, *, folder, names):
-        """Start none before ``start``."""
+        """Start no replica before ``start``."""
         self._folder = folder
         self.names = tuple(names)
         self.replicas = {}
         self.memberships = {}
-        self.cut_off = set()
+        self.partitioned = set()
         self._tasks = {}
 
     def start(self, name, *, first=False, sync=None):
-        """Start a replica on its folder."""
+        """Start a replica with its data folder."""
         loop = asyncio.get_running_loop()
         options = {"sync": sync} if sync else {}
         replica = Replica(
@@ -83,19 +83,19 @@
             self.start(name, first=True)
 
     async def stop(self, name):
-        """Stop a replica without notice."""
+        """Stop a replica abruptly."""
         task = self._tasks.pop(name)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.replicas.pop(name)._folder.close()
 
     async def stop_all(self):
-        """Stop what still runs."""
+        """Stop all running replicas."""
         for name in tuple(self._tasks):
             await self.stop(name)
 
     async def leader(self, *, among=None, timeout_s=5.0):
-        """Return the replica that leads."""
+        """Wait for a leader and return its replica."""
         async with asyncio.timeout(timeout_s):
             while True:
                 for name, replica in self.replicas.items():
@@ -105,9 +105,10 @@
                 await asyncio.sleep(0.01)
 
     async def propose(self, command, *, among=None):
-        """Return the leader at which a command was committed.
+        """Commit a command and return the leader that committed it.
 
-        On a busy machine an election may come in between.
+        It is retried at the next leader, because a busy machine may cause an
+        election meanwhile.
         """
         while True:
             leader = await self.leader(among=among)
@@ -120,13 +121,13 @@
     def _deliver(self, sender, messages):
         for message in messages:
             replica = self.replicas.get(message.to)
-            if replica is None or {sender, message.to} & self.cut_off:
+            if replica is None or {sender, message.to} & self.partitioned:
                 continue
             replica.deliver([MESSAGE_CODEC.encode(message)])
 
 
 def run_group(folder, work, *, names):
-    """Return what a coroutine finds at a first replica set that runs."""
+    """Return the result of a coroutine that uses a running replica set."""
 
     async def run():
         group = ReplicaGroup(folder=folder, names=names)
@@ -141,7 +142,7 @@
 
 
 class _MembershipLink:
-    """The path by which an instance asks another to join or to leave."""
+    """The link for an instance's join and leave requests to another one."""
 
     def __init__(self, *, group, to):
         self._group = group
--- a/currantdeal/control/tests/test_crash_ledger.py
+++ b/currantdeal/control/tests/test_crash_ledger.py
@@ -1,21 +1,25 @@
-from currantdeal.control.crash_ledger import REPEAT_S, SILENT_S, CrashLedger
+from currantdeal.control.crash_ledger import (
+    REPEAT_PERIOD_S,
+    SILENCE_TIMEOUT_S,
+    CrashLedger,
+)
 from currantdeal.node.messages import CrashesNotice
 from currantdeal.policy.crash_book import Crash, SuspectRecord
 
-POISON = b"poison"
+FINGERPRINT = b"poison"
 
 
 def _record(*numbers):
     crashes = (Crash(upstream=f"u{n}", started_ms=1) for n in numbers)
-    return SuspectRecord(fingerprint=POISON, crashes=tuple(crashes))
+    return SuspectRecord(fingerprint=FINGERPRINT, crashes=tuple(crashes))
 
 
-class _Net:
-    """Control instances, and the pairs of them that are cut apart."""
+class _Network:
+    """Control instances, and the pairs of them that are partitioned."""
 
     def __init__(self, *names):
         self.now_s = 0.0
-        self.cut = set()
+        self.partitioned = set()
         self.ledgers = {}
         self.entries = {name: [] for name in names}
         for name in names:
@@ -28,20 +32,23 @@
         )
 
     def send(self, sender, receiver, notice):
-        if frozenset((sender, receiver)) not in self.cut:
-            self.ledgers[receiver].take(notice)
+        if frozenset((sender, receiver)) not in self.partitioned:
+            self.ledgers[receiver].receive(notice)
 
     def beat(self, seconds=0.5):
-        """Let time pass; each instance that can hears the others."""
+        """Advance time; reachable instances receive each other's heartbeat."""
         self.now_s += seconds
         for name, ledger in self.ledgers.items():
-            ledger.beat()
+            ledger.repeat_recent()
             for other in self.ledgers:
-                if other != name and frozenset((name, other)) not in self.cut:
-                    self.ledgers[other].heard(name)
+                if (
+                    other != name
+                    and frozenset((name, other)) not in self.partitioned
+                ):
+                    self.ledgers[other].on_heartbeat(name)
 
-    def know(self, name):
-        return self.ledgers[name].quarantined == {POISON}
+    def quarantines(self, name):
+        return self.ledgers[name].quarantined == {FINGERPRINT}
 
 
 class _Exchange:
@@ -52,12 +59,12 @@
     def publish(self, notice):
         self._net.entries[self.me].append(notice)
 
-    def tell_others(self, notice):
+    def notify_others(self, notice):
         for name in self._net.ledgers:
             if name != self.me:
-                self.tell_one(name, notice)
+                self.notify_one(name, notice)
 
-    def tell_one(self, name, notice):
+    def notify_one(self, name, notice):
         self._net.send(self.me, name, notice)
 
 
@@ -69,100 +76,116 @@
         self.notices.append(notice)
 
 
-def test_crashes_at_three_instances_are_known_to_all():
-    """Guards against crashes that each instance counts by itself."""
-    net = _Net("c1", "c2", "c3")
+def test_crashes_seen_by_three_instances_are_added_up():
+    """Guards against a quarantine that counts only one instance's crashes.
+
+    Each of three control instances is notified of one crash of the same
+    request.
+    """
+    net = _Network("c1", "c2", "c3")
     for number, name in enumerate(net.ledgers):
-        net.ledgers[name].take(CrashesNotice(records=(_record(number),)))
-    assert all(net.know(name) for name in net.ledgers)
+        net.ledgers[name].receive(CrashesNotice(records=(_record(number),)))
+    assert all(net.quarantines(name) for name in net.ledgers)
     assert all(len(notices) == 3 for notices in net.entries.values())
 
 
-def test_news_goes_round_a_cut_between_two_instances():
-    """Guards against entries that hear nothing behind a partial partition."""
-    net = _Net("c1", "c2", "c3")
-    net.cut.add(frozenset(("c1", "c3")))
-    net.ledgers["c1"].take(CrashesNotice(records=(_record(1, 2, 3),)))
-    assert net.know("c3")
+def test_records_are_relayed_around_a_partial_partition():
+    """Guards against records that a partial partition keeps from entries.
+
+    Two control instances cannot reach each other, but a third reaches both.
+    """
+    net = _Network("c1", "c2", "c3")
+    net.partitioned.add(frozenset(("c1", "c3")))
+    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    assert net.quarantines("c3")
+
 
+def test_instance_receives_missed_records_after_a_partition():
+    """Guards against records that are lost in a partition.
 
-def test_instance_that_was_cut_off_hears_what_it_missed():
-    """Guards against news that is lost with the end of a partition."""
-    net = _Net("c1", "c2", "c3")
+    The partition outlasts the time for which changes are sent again.
+    """
+    net = _Network("c1", "c2", "c3")
     net.beat()
-    net.cut.update({frozenset(("c1", "c3")), frozenset(("c2", "c3"))})
-    net.ledgers["c1"].take(CrashesNotice(records=(_record(1, 2, 3),)))
-    for _ in range(int(2 * (REPEAT_S + SILENT_S) / 0.5)):
+    net.partitioned.update({frozenset(("c1", "c3")), frozenset(("c2", "c3"))})
+    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    for _ in range(int(2 * (REPEAT_PERIOD_S + SILENCE_TIMEOUT_S) / 0.5)):
         net.beat()
-    assert not net.know("c3")
-    net.cut.clear()
+    assert not net.quarantines("c3")
+    net.partitioned.clear()
     net.beat()
-    assert net.know("c3")
+    assert net.quarantines("c3")
 
 
-def test_instance_that_lost_its_disk_hears_what_the_others_know():
-    """Guards against an instance that forgets with its disk."""
-    net = _Net("c1", "c2", "c3")
-    net.ledgers["c1"].take(CrashesNotice(records=(_record(1, 2, 3),)))
+def test_instance_that_lost_its_disk_receives_all_records():
+    """Guards against an instance that loses all records with its disk.
+
+    It restarts empty long after the others stopped sending the change again.
+    """
+    net = _Network("c1", "c2", "c3")
+    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
     net.beat()
-    net.now_s += 10 * REPEAT_S
+    net.now_s += 10 * REPEAT_PERIOD_S
     net.beat()
     net.beat()
     net.start("c2")
     net.beat()
-    assert net.know("c2")
+    assert net.quarantines("c2")
 
 
-def test_notice_that_is_lost_is_repeated():
-    """Guards against news that is lost with a connection."""
-    net = _Net("c1", "c2")
+def test_lost_notice_is_sent_again():
+    """Guards against a record that is lost with a broken connection."""
+    net = _Network("c1", "c2")
     net.beat()
-    net.cut.add(frozenset(("c1", "c2")))
-    net.ledgers["c1"].take(CrashesNotice(records=(_record(1, 2, 3),)))
-    net.cut.clear()
+    net.partitioned.add(frozenset(("c1", "c2")))
+    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.partitioned.clear()
     net.beat()
-    assert net.know("c2")
+    assert net.quarantines("c2")
 
 
-def test_old_news_is_not_repeated():
-    """Guards against traffic that grows with all that ever crashed."""
-    net = _Net("c1")
+def test_old_records_are_not_sent_again():
+    """Guards against traffic that grows with the number of all crashes."""
+    net = _Network("c1")
     sent = []
-    net.ledgers["c1"].take(CrashesNotice(records=(_record(1, 2, 3),)))
-    net.now_s += REPEAT_S + 0.1
+    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.now_s += REPEAT_PERIOD_S + 0.1
     net.ledgers["c2"] = CrashLedger(
         exchange=_Exchange(net=net, me="c2"), clock=lambda: net.now_s
     )
     net.send = lambda sender, receiver, notice: sent.append(notice)
-    net.ledgers["c1"].beat()
+    net.ledgers["c1"].repeat_recent()
     assert sent == []
 
 
-def test_entry_that_subscribes_is_told_everything():
-    """Guards against an entry that starts without knowing a culprit."""
-    net = _Net("c1")
+def test_new_subscriber_receives_all_records():
+    """Guards against a starting entry that runs a quarantined request."""
+    net = _Network("c1")
     entry = _Entry()
-    net.ledgers["c1"].welcome(entry)
+    net.ledgers["c1"].send_all(entry)
     assert entry.notices == []
-    net.ledgers["c1"].take(CrashesNotice(records=(_record(1, 2, 3),)))
-    net.ledgers["c1"].welcome(entry)
+    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.ledgers["c1"].send_all(entry)
     (notice,) = entry.notices
     assert len(notice.records[0].crashes) == 3
 
 
-def test_every_change_is_to_be_saved():
-    """Guards against a loss of power that lets a culprit run again."""
+def test_every_change_is_saved():
+    """Guards against a power failure after which a quarantine is lost.
+
+    Every changed set of records is saved, an unchanged one is not.
+    """
     saved = []
     ledger = CrashLedger(
-        exchange=_Exchange(net=_Net("c1"), me="c1"),
+        exchange=_Exchange(net=_Network("c1"), me="c1"),
         clock=lambda: 0.0,
         on_change=saved.append,
     )
-    ledger.take(CrashesNotice(records=(_record(1, 2, 3),)))
-    ledger.take(CrashesNotice(records=(_record(1, 2, 3),)))
+    ledger.receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    ledger.receive(CrashesNotice(records=(_record(1, 2, 3),)))
     (records,) = saved
     again = CrashLedger(
-        exchange=_Exchange(net=_Net("c1"), me="c1"), clock=lambda: 0.0
+        exchange=_Exchange(net=_Network("c1"), me="c1"), clock=lambda: 0.0
     )
     again.load(records)
-    assert again.quarantined == {POISON}
+    assert again.quarantined == {FINGERPRINT}
--- a/currantdeal/control/tests/test_crash_store.py
+++ b/currantdeal/control/tests/test_crash_store.py
@@ -12,7 +12,7 @@
 
 
 class _File:
-    """A file of which the first writes fail."""
+    """A file whose first writes fail."""
 
     def __init__(self, *, failures=0):
         self.content = None
@@ -47,16 +47,16 @@
     assert CrashStore(file=file).load() == (RECORD,)
 
 
-def test_failed_write_is_tried_again(monkeypatch):
-    """Guards against a full disk after which nothing is saved any more."""
+def test_failed_write_is_retried(monkeypatch):
+    """Guards against a full disk after which no record is saved any more."""
     monkeypatch.setattr(crash_store, "RETRY_S", 0.01)
     file = _File(failures=3)
     asyncio.run(_save(file))
     assert CrashStore(file=file).load() == (RECORD,)
 
 
-def test_unreadable_file_does_not_keep_control_from_starting():
-    """Guards against a damaged file that ends each start."""
+def test_unreadable_file_does_not_prevent_a_start():
+    """Guards against a damaged file that makes every start fail."""
     assert CrashStore(file=_Damaged()).load() == ()
     file = _File()
     file.content = b"of another release"
--- a/currantdeal/control/tests/test_directory.py
+++ b/currantdeal/control/tests/test_directory.py
@@ -16,7 +16,7 @@
     return directory
 
 
-def test_nearest_entries_come_first_and_there_is_a_choice():
+def test_nearest_entries_come_first_and_at_least_three_are_returned():
     directory = _directory(
         ("r1", "a"), ("r1", "b"), ("r2", "c"), ("r1", "a"), ("r1", "a")
     )
@@ -27,31 +27,32 @@
     assert found[0] == "10.0.0.2:80"
 
 
-def test_silent_and_stopping_entries_are_left_out():
-    """An entry is frozen, another was told to stop.
+def test_silent_and_stopping_entries_are_not_chosen():
+    """One entry hangs and another one is stopping.
 
-    Callers that were sent there would wait for a second and lose a try.
+    Callers that got their addresses would wait for a second and lose an
+    attempt.
     """
     directory = _directory(("r1", "a"), ("r1", "a"), ("r1", "a"))
     stopping = an_entry(instance="entry-1", sequence=2, ready=False)
     assert directory.merge(stopping, now_s=2.0)
-    directory.heard("entry-2", 1_000, 5, now_s=2.0)
+    directory.on_heartbeat("entry-2", 1_000, 5, now_s=2.0)
     found = directory.choose("r1", "a", now_s=2.5, current=True)
     assert found == ("10.0.0.2:80",)
 
 
-def test_when_unsure_the_silent_are_named_too():
-    """A control instance is cut off from the others.
+def test_silent_entries_are_chosen_without_contact_to_the_leader():
+    """A control instance is partitioned from the others.
 
-    It hears only some entries; an answer without any would cost a caller
-    its request.
+    It receives the heartbeats of some entries only.  An empty answer would
+    cost a caller its request.
     """
     directory = _directory(("r1", "a"), ("r1", "a"))
     found = directory.choose("r1", "a", now_s=9.0, current=False)
     assert len(found) == 2
 
 
-def test_an_entry_that_no_heartbeat_names_is_forgotten():
+def test_an_entry_without_heartbeats_is_removed():
     directory = _directory(("r1", "a"))
     directory.expire(now_s=31.0)
     assert directory.choose("r1", "a", now_s=31.0, current=False) == ()
--- a/currantdeal/control/tests/test_exchange.py
+++ b/currantdeal/control/tests/test_exchange.py
@@ -10,7 +10,7 @@
 
 
 class _Link:
-    """Another control instance that confirms what it is told."""
+    """A link to a control instance that confirms every call."""
 
     def __init__(self):
         self.calls = []
@@ -20,8 +20,8 @@
         return Done(accepted=True)
 
 
-class _Silent:
-    """Another control instance that does not answer."""
+class _UnreachableLink:
+    """A link to a control instance that does not answer."""
 
     calls = ()
 
@@ -48,11 +48,11 @@
         self.frames.append(frame)
 
 
-def test_what_one_entry_found_replaced_reaches_all():
-    """An engine crashed and another process has its address.
+def test_an_upstream_reported_as_replaced_is_sent_to_all():
+    """An engine has crashed and another process has taken its address.
 
-    Its leave never comes.  Every entry that does not know sends prompts to be
-    read for it, in vain.
+    The engine announces no leave.  Every entry without the report would have
+    prompts prefilled for it in vain.
     """
 
     async def run():
@@ -63,8 +63,8 @@
         exchange.merge_upstream(an_upstream())
         subscriber.frames.clear()
         gone = an_upstream(state=UpstreamState.GONE)
-        exchange.take_replaced((gone,))
-        exchange.take_replaced((gone,))
+        exchange.report_replaced((gone,))
+        exchange.report_replaced((gone,))
         await asyncio.sleep(0.0)
         return exchange, link, subscriber
 
@@ -88,13 +88,13 @@
 def test_a_leave_is_confirmed_by_a_majority_of_the_voters(
     me, silent, confirmed
 ):
-    """A control instance is gone, and its successor still starts.
+    """A control instance has failed, and its successor is still starting.
 
-    An upstream that leaves asks the others to note it.  If the one that is
-    gone and the one that starts both counted, two of four would be too few,
-    and the upstream would be sent away until it is killed.
+    The leave of an upstream must be confirmed by a majority.  If the failed
+    and the starting instance both counted, the two of four that answer would
+    be no majority, and the upstream would be refused until it is killed.
     """
-    links = {name: _Silent() for name in silent}
+    links = {name: _UnreachableLink() for name in silent}
     exchange = _an_exchange(
         me=me,
         voters=("c1", "c2", "c3"),
--- a/currantdeal/control/tests/test_membership.py
+++ b/currantdeal/control/tests/test_membership.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from currantdeal.control.membership import LEAVE_LIMIT_S
+from currantdeal.control.membership import LEAVE_TIMEOUT_S
 from currantdeal.control.tests.builders import run_group
 
 TRIO = ("a", "b", "c")
@@ -18,8 +18,8 @@
         await asyncio.sleep(0.02)
 
 
-async def _stand_by(group, name):
-    """Start one more instance that learns and stands by."""
+async def _start_learner(group, name):
+    """Start one more instance and wait until it is a learner with state."""
     group.start(name)
     leader = await group.leader()
     while leader.node.configuration.learner_names != (name,):
@@ -35,20 +35,20 @@
 
 
 async def _leave(group, name, leader):
-    """Have an instance ask to leave, again where the machine is slow."""
+    """Have an instance leave, with retries in case the machine is slow."""
     while name in leader.node.configuration.voter_names:
         await group.memberships[name].leave()
 
 
-def test_an_instance_that_stops_is_replaced_before_it_ends(tmp_path):
-    """A control instance is told to stop, and another one stands by.
+def test_a_stopping_voter_is_replaced_before_it_exits(tmp_path):
+    """A control instance is stopped while a learner is available.
 
-    If it ended as a voter, the others could not bear one more loss until its
-    silence had been noticed.
+    If it exited as a voter, the others would not tolerate another failure
+    until its silence had been detected.
     """
 
     async def work(group):
-        leader = await _stand_by(group, "d")
+        leader = await _start_learner(group, "d")
         stopping = await _a_follower(group)
         await _leave(group, stopping, leader)
         return stopping, leader.node.configuration
@@ -60,11 +60,11 @@
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_one_of_three_that_stops_does_not_wait(tmp_path, leads):
+def test_one_of_three_voters_stops_without_waiting(tmp_path, leads):
     """Operators restart one of three control instances.
 
-    It comes back a moment later.  Its stop must not take longer because it
-    asks for something that nobody can grant.
+    It returns a moment later.  Its stop must not be delayed by leave requests
+    that cannot be granted without a learner.
     """
 
     async def work(group):
@@ -77,15 +77,18 @@
         return time.monotonic() - began_s, leader.node.configuration
 
     took_s, configuration = _run(tmp_path, work)
-    assert took_s < LEAVE_LIMIT_S / 2
+    assert took_s < LEAVE_TIMEOUT_S / 2
     assert configuration.voter_names == TRIO
 
 
-def test_an_instance_that_left_does_not_join_again_while_it_ends(tmp_path):
-    """It ends a second later, as a voter that is gone."""
+def test_an_instance_that_left_does_not_rejoin_before_it_exits(tmp_path):
+    """Guards against a stopping instance that joins again.
+
+    It would exit a second later and remain in the set as a failed member.
+    """
 
     async def work(group):
-        leader = await _stand_by(group, "d")
+        leader = await _start_learner(group, "d")
         stopping = await _a_follower(group)
         await _leave(group, stopping, leader)
         for _ in range(5):
--- a/currantdeal/control/tests/test_orders.py
+++ b/currantdeal/control/tests/test_orders.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 from currantdeal.control.errors import NotCertainError
-from currantdeal.control.orders import QUIET_S, StageOrders
+from currantdeal.control.orders import QUIET_PERIOD_S, StageOrders
 from currantdeal.node.connection_pool import ConnectionPool
 from currantdeal.platform.calls import PlatformCalls
 from currantdeal.registry import Stage, UpstreamState
@@ -14,7 +14,7 @@
 
 
 class _Replica:
-    """A leader as the orders see it."""
+    """A leader, as far as ``StageOrders`` uses it."""
 
     def __init__(self, *, certain=True):
         self.leads = True
@@ -49,23 +49,25 @@
     def switch_s(self, service):
         return 6.0
 
-    def tell_switching(self, upstream, for_s):
+    def announce_switching(self, upstream, for_s):
         self.switching.append((upstream, for_s))
 
 
-def _orders_given(
+def _sent_orders(
     *, at, replica=None, status=202, engines=8, prefill=3, changes=None
 ):
     """Return the orders that engines receive, and the service.
 
     Parameters
     ----------
+    at : iterable of float
+        Times of the planning steps.
     status : int or dict
-        What engines answer; those that a dictionary does not name accept.
+        Status that engines answer; engines not in a dictionary accept.
     engines, prefill : int
-        Number of engines, and of those among them that read prompts.
+        Number of engines, and how many of them are prefill engines.
     changes : dict or None
-        States that engines take on, by time: pairs of name and state.
+        New states of engines, by time: pairs of name and state.
     """
 
     async def answer(standin, request, writer):
@@ -111,14 +113,14 @@
     return asyncio.run(run())
 
 
-def test_a_new_leader_waits_out_the_orders_of_the_one_before():
-    """Leadership changes while an order of the old leader is on its way.
+def test_a_new_leader_waits_until_old_orders_have_arrived():
+    """Leadership changes while an order of the old leader is in flight.
 
-    Two holders that give orders by turns switch an engine back and forth.
+    Two holders that send orders in turns switch an engine back and forth.
     """
-    soon, _ = _orders_given(at=(0.0, QUIET_S, PAUSE_S))
+    soon, _ = _sent_orders(at=(0.0, QUIET_PERIOD_S, PAUSE_S))
     assert soon == []
-    later, service = _orders_given(at=(0.0, PAUSE_S + 1.0))
+    later, service = _sent_orders(at=(0.0, PAUSE_S + 1.0))
     assert len(later) == 1
     assert b'"FencingToken":7' in later[0].body
     assert b'"Stage":"decode"' in later[0].body
@@ -126,44 +128,44 @@
     assert [name for name, _ in service.switching] == ["e2"]
 
 
-def test_a_leader_that_may_be_deposed_gives_no_order():
-    """The leader was frozen and does not know that another was elected."""
-    seen, _ = _orders_given(
+def test_a_leader_without_a_quorum_sends_no_order():
+    """The leader was suspended, and another one was elected meanwhile."""
+    seen, _ = _sent_orders(
         at=(0.0, PAUSE_S + 1.0), replica=_Replica(certain=False)
     )
     assert seen == []
 
 
 def test_a_refused_fencing_number_is_not_used_again():
-    """An engine has seen orders under a later number."""
-    seen, service = _orders_given(
+    """An engine has received an order with a later fencing number."""
+    seen, service = _sent_orders(
         at=(0.0, PAUSE_S + 1.0, PAUSE_S + 60.0), status=412
     )
     assert len(seen) == 1
     assert service.switching == []
 
 
-def test_a_refused_holder_gives_no_further_order_of_its_plan():
-    """Two engines are to be switched, and the first knows a later holder.
+def test_a_fenced_holder_abandons_the_rest_of_its_plan():
+    """Two engines are to be switched; the first refuses the fencing number.
 
-    Orders that go on under a number that was refused work against the new
-    holder's.
+    Further orders with a refused fencing number would conflict with those of
+    the new holder.
     """
-    seen, service = _orders_given(
+    seen, service = _sent_orders(
         at=(0.0, PAUSE_S + 1.0), status=412, engines=4
     )
     assert len(seen) == 1
     assert service.switching == []
 
 
-def test_an_engine_that_takes_no_order_does_not_stop_the_plan():
-    """The last prefill engine leaves, and the engine chosen has restarted.
+def test_an_engine_that_refuses_an_order_does_not_block_the_plan():
+    """There is no prefill engine, and the chosen substitute has restarted.
 
-    With a pause after an order that nobody took, the pool would have no
-    prefill engine for a quarter of a minute.
+    If a refused order were followed by the usual pause, the pool would have
+    no prefill engine for a quarter of a minute.
     """
     start_s = PAUSE_S + 1.0
-    seen, service = _orders_given(
+    seen, service = _sent_orders(
         at=(0.0, start_s, start_s + 0.5, start_s + 1.0),
         status={"e3": 421},
         engines=4,
@@ -174,14 +176,14 @@
     assert name != "e3"
 
 
-def test_an_order_that_is_being_carried_out_is_not_followed_by_another():
-    """A decode engine still ends its streams before it reads prompts.
+def test_a_pending_order_is_not_followed_by_another():
+    """A decode engine completes its streams before it switches to prefill.
 
-    Until it announces that it does, the pool looks as if nobody read them;
-    each further order would take one more engine away.
+    Until it announces the new stage, the pool appears to have no prefill
+    engine.  Each further order would take one more engine away from decode.
     """
     start_s = PAUSE_S + 1.0
-    seen, service = _orders_given(
+    seen, service = _sent_orders(
         at=(0.0, start_s, start_s + 3.0, start_s + 9.0),
         engines=4,
         prefill=0,
@@ -190,14 +192,14 @@
     assert len(service.switching) == 1
 
 
-def test_a_prefill_engine_that_drains_is_replaced_at_once():
-    """The last prefill engine announces that it leaves.
+def test_a_draining_prefill_engine_is_replaced_at_once():
+    """The last prefill engine announces that it is draining.
 
-    A substitute is ten seconds away, and until then prompts are read between
-    the tokens of streams.
+    A substitute takes ten seconds to switch.  Until then decode engines
+    prefill prompts between the tokens of their streams.
     """
     start_s = PAUSE_S + 10.0
-    seen, _ = _orders_given(
+    seen, _ = _sent_orders(
         at=(0.0, start_s, start_s + 1.0),
         engines=4,
         prefill=1,
@@ -207,10 +209,11 @@
     assert b'"Stage":"prefill"' in seen[0].body
 
 
-def test_a_prefill_engine_that_crashed_is_waited_for():
+def test_a_crashed_prefill_engine_gets_time_to_restart():
     """The last prefill engine crashes and restarts in a second or two.
 
-    It is back before any substitute, for which a decode engine would stop.
+    It returns before a substitute could have switched, and the substitute
+    would be missing from decode.
     """
     start_s = PAUSE_S + 10.0
     options = {
@@ -218,7 +221,7 @@
         "prefill": 1,
         "changes": {start_s: ("e0", UpstreamState.GONE)},
     }
-    soon, _ = _orders_given(at=(0.0, 9.0, start_s, start_s + 2.0), **options)
+    soon, _ = _sent_orders(at=(0.0, 9.0, start_s, start_s + 2.0), **options)
     assert soon == []
-    later, _ = _orders_given(at=(0.0, 9.0, start_s, start_s + 5.0), **options)
+    later, _ = _sent_orders(at=(0.0, 9.0, start_s, start_s + 5.0), **options)
     assert len(later) == 1
--- a/currantdeal/control/tests/test_replica.py
+++ b/currantdeal/control/tests/test_replica.py
@@ -13,11 +13,11 @@
     return run_group(tmp_path, work, names="abc")
 
 
-def test_a_change_is_there_after_all_replicas_were_killed(tmp_path):
+def test_a_committed_change_survives_a_kill_of_all_replicas(tmp_path):
     """All control processes are killed right after an acknowledgement.
 
-    The operators would read back an older configuration than the one that
-    they were told is in force.
+    If the change were lost, operators would read back an older configuration
+    than the acknowledged one.
     """
 
     async def work(group):
@@ -33,10 +33,10 @@
     assert zlib.decompress(state.packed) == b"newest"
 
 
-def test_the_same_number_with_other_content_changes_nothing(tmp_path):
-    """Two operators send different changes under one number.
+def test_other_content_under_the_same_version_is_ignored(tmp_path):
+    """Two operators send different configurations under one version.
 
-    Whoever is second must not replace what entries already obey.
+    The second one must not replace the one that entries already use.
     """
 
     async def work(group):
@@ -49,17 +49,17 @@
     assert zlib.decompress(state.packed) == b"first"
 
 
-def test_a_leader_that_is_cut_off_does_not_answer_reads(tmp_path):
-    """The leader is cut off and the others elect a new one.
+def test_a_partitioned_leader_does_not_answer_reads(tmp_path):
+    """The leader is partitioned and the others elect a new one.
 
-    The old one still takes itself for the leader for a moment; its answer
-    would show a change going away that was acknowledged by the other.
+    The old one remains leader in its own view for a moment.  Its answer would
+    lack a change that the new one has acknowledged.
     """
 
     async def work(group):
         old = await group.propose(a_change(1))
         (name,) = [n for n, r in group.replicas.items() if r is old]
-        group.cut_off = {name}
+        group.partitioned = {name}
         rest = set(group.names) - {name}
         with pytest.raises(NotCertainError):
             await old.read()
@@ -69,22 +69,22 @@
     assert _run(tmp_path, work).version == 2
 
 
-def test_a_change_at_a_leader_that_is_cut_off_stays_unclear(tmp_path):
+def test_the_outcome_of_a_change_at_a_partitioned_leader_is_unknown(tmp_path):
     async def work(group):
         old = await group.leader()
         (name,) = [n for n, r in group.replicas.items() if r is old]
-        group.cut_off = {name}
+        group.partitioned = {name}
         with pytest.raises(NotCommittedError):
             await old.propose(a_change(1))
 
     _run(tmp_path, work)
 
 
-def test_a_replica_without_its_disk_counts_only_after_it_learned(tmp_path):
-    """A machine comes back with an empty disk.
+def test_a_replica_that_lost_its_disk_votes_only_after_catching_up(tmp_path):
+    """A machine returns with an empty disk.
 
-    If it voted before it has learned, a replica that missed a change could
-    be elected with its help, and the change would be gone.
+    If it voted before it has caught up, a replica that lacks a change could
+    be elected with its vote, and the change would be lost.
     """
 
     async def work(group):
@@ -112,17 +112,17 @@
     assert _run(tmp_path, work) is True
 
 
-def test_a_disk_that_stands_still_costs_the_leader_its_place(tmp_path):
-    """The leader's disk answers nothing for seconds.
+def test_a_leader_with_a_stalled_disk_is_replaced(tmp_path):
+    """The leader's disk stalls for seconds.
 
-    Changes would wait for it as long; the others go on without it.
+    Changes would be blocked as long, so the others elect a new leader.
     """
     stalled = threading.Event()
-    go_on = threading.Event()
+    resume = threading.Event()
 
     def sync(descriptor):
         if stalled.is_set():
-            go_on.wait(10.0)
+            resume.wait(10.0)
 
     async def work(group):
         old = await group.leader()
@@ -132,7 +132,7 @@
         waiting = asyncio.ensure_future(old.propose(a_change(1)))
         rest = set(group.names) - {name}
         new = await group.propose(a_change(2), among=rest)
-        go_on.set()
+        resume.set()
         await asyncio.gather(waiting, return_exceptions=True)
         return await new.read()
 
--- a/currantdeal/control/tests/test_replica_watch.py
+++ b/currantdeal/control/tests/test_replica_watch.py
@@ -18,14 +18,14 @@
 VOTERS = tuple(Replica(instance=n, address=n) for n in ("c1", "c2", "c3"))
 
 
-def _lines_of(node, *, seconds):
+def _log_lines(node, *, seconds):
     now_s = 0.0
     watch = ReplicaWatch(clock=lambda: now_s)
     with capture_logs() as lines:
         while now_s < seconds:
             node.tick(now_s)
             node.synced(node.take_output().last_index)
-            watch.look(node)
+            watch.log_changes(node)
             now_s += 0.05
     return lines
 
@@ -43,12 +43,13 @@
     )
 
 
-def test_a_replica_that_finds_no_majority_says_who_is_missing():
-    """A control instance hears none of the others.
+def test_a_replica_without_a_majority_logs_voters_and_votes():
+    """A control instance cannot reach any of the others.
 
-    Operators see changes refused, and look for who counts and who answers.
+    Operators see changes refused, and look for the voters and for those that
+    answer.
     """
-    lines = _lines_of(_a_node(voters=VOTERS), seconds=11.0)
+    lines = _log_lines(_a_node(voters=VOTERS), seconds=11.0)
     missing = [line for line in lines if line["event"] == "no-leader"]
     assert len(missing) == 2
     assert missing[0]["voters"] == ("c1", "c2", "c3")
@@ -57,7 +58,7 @@
     assert missing[0]["for_s"] >= NO_LEADER_INTERVAL_S
 
 
-def test_leader_and_replica_set_are_told_once():
-    lines = _lines_of(_a_node(voters=VOTERS[:1]), seconds=11.0)
+def test_leader_and_replica_set_are_logged_once():
+    lines = _log_lines(_a_node(voters=VOTERS[:1]), seconds=11.0)
     events = [line["event"] for line in lines]
     assert sorted(events) == ["leader-changed", "replica-set-changed"]
--- a/currantdeal/control/tests/test_service.py
+++ b/currantdeal/control/tests/test_service.py
@@ -1,7 +1,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from currantdeal.control.service import SETTLED_S, ControlService
+from currantdeal.control.service import REGISTRY_COMPLETE_S, ControlService
 from currantdeal.node.head import RequestHead
 from currantdeal.platform.control import PlatformControl
 from currantdeal.registry.tests.builders import an_upstream
@@ -16,7 +16,7 @@
 
 
 class _Exchange:
-    """Records of which nothing but a leave is asked here."""
+    """Records, as far as a leave uses them."""
 
     def __init__(self, *, known, confirmed=True):
         self._known = known
@@ -53,20 +53,23 @@
     assert _leave(_Exchange(known=True), up_s=1.0) == 200
 
 
-def test_a_leave_that_no_majority_knows_is_not_acknowledged():
-    """The control instance is cut off from the others.
+def test_a_leave_without_a_majority_is_not_acknowledged():
+    """The control instance is partitioned from the others.
 
-    Entries that follow the others would go on sending work there.
+    Entries that subscribe to the others would go on sending work to the
+    upstream.
     """
     found = _leave(_Exchange(known=True, confirmed=False), up_s=1.0)
     assert found == 503
 
 
-def test_a_restarted_instance_acknowledges_no_leave_it_cannot_pass_on():
-    """A control instance has restarted and knows no upstreams yet.
+def test_a_restarted_instance_refuses_a_leave_of_an_unknown_upstream():
+    """A control instance has restarted and has no upstream records yet.
 
-    It would tell an upstream that its leave is known while nobody has
-    heard of it, and entries would send work to a closed port.
+    It would acknowledge the leave of an upstream without having sent it to
+    any other instance, and entries would send work to a closed port.
     """
     assert _leave(_Exchange(known=False), up_s=1.0) == 503
-    assert _leave(_Exchange(known=False), up_s=SETTLED_S + 1.0) == 200
+    assert (
+        _leave(_Exchange(known=False), up_s=REGISTRY_COMPLETE_S + 1.0) == 200
+    )
--- a/currantdeal/state/__init__.py
+++ b/currantdeal/state/__init__.py
@@ -1,4 +1,4 @@
-"""What the instances agree on, and what each change does to it."""
+"""Defines the replicated state and the commands that change it."""
 
 from currantdeal.state.audit import (
     append_audit,
--- a/currantdeal/state/audit.py
+++ b/currantdeal/state/audit.py
@@ -1,7 +1,7 @@
-"""The audit trail: who changed what, when, from where.
+"""Maintains the audit trail: who changed what, when, from where.
 
-It is part of the replicated state, so that every replica tells the same
-story and a snapshot carries the trail with it.
+It is part of the replicated state, so that it is the same on every replica
+and contained in every snapshot.
 """
 
 from dataclasses import replace
@@ -12,7 +12,7 @@
 
 
 def append_audit(state, command, subject, before, after):
-    """Return the state with one more record in its audit trail."""
+    """Return the state with a record of a change in its audit trail."""
     origin = command.origin
     record = AuditRecord(
         version=state.version,
@@ -39,7 +39,7 @@
 
 
 def describe(value):
-    """Return a value as compact JSON; the empty text stands for nothing."""
+    """Return a value as compact JSON, or an empty string for None."""
     if value is None:
         return ""
     return msgspec.json.encode(value).decode()
--- a/currantdeal/state/cluster.py
+++ b/currantdeal/state/cluster.py
@@ -1,7 +1,7 @@
-"""The replicated state: an immutable value computed from the log.
+"""Defines the replicated state, an immutable value computed from the log.
 
-Threads read one value without locks while the next is being computed; the
-persistent maps share what did not change.
+Threads read one value without locks while the next one is being computed.
+Successive values share the unchanged parts of their persistent maps.
 """
 
 from dataclasses import dataclass, field
@@ -31,21 +31,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamRecord:
-    """An upstream, with the labels that operators gave it.
+    """An upstream and the labels that operators set for it.
 
     Parameters
     ----------
     upstream : Upstream
-        Its last announcement.
+        The upstream as it last announced itself.
     operator_labels : tuple of Label
-        Set by operators; they win over announced ones.
+        Labels set by operators; they override announced ones.
     removed_labels : tuple of str
-        Announced labels that an operator removed.
+        Names of announced labels that an operator removed.
     labels_version : int
         Version of the state at the last change by an operator, or 0.
     present : bool
-        False after it left or fell silent.  Operators' labels outlive that,
-        so that a withdrawal is not undone by a restart.
+        False after the upstream left or timed out.  Operators' labels are
+        kept, so that a restart does not undo a withdrawal.
     """
 
     upstream: Upstream
@@ -56,7 +56,7 @@
 
     @property
     def labels(self):
-        """Mapping of label names to values in force."""
+        """Mapping of effective label names to their values."""
         found = {label.name: label.value for label in self.upstream.labels}
         for name in self.removed_labels:
             found.pop(name, None)
@@ -65,13 +65,13 @@
 
     @property
     def withdrawn(self):
-        """True when no new work may go to the upstream."""
+        """True if no new work may be sent to the upstream."""
         return WITHDRAWN_LABEL in self.labels
 
 
 @dataclass(frozen=True, kw_only=True)
 class SelectorRecord:
-    """A selector and the version of its last change."""
+    """A selector and the version of the state at its last change."""
 
     selector: Selector
     version: int
@@ -79,7 +79,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Home:
-    """Which instance keeps an upstream's ledger."""
+    """The instance that keeps an upstream's memory ledger.
+
+    Parameters
+    ----------
+    fence : FencingNumber
+        Fencing number under which it does so.
+    """
 
     instance: InstanceId
     fence: FencingNumber
@@ -87,7 +93,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderRecord:
-    """An engine order and how far it has come."""
+    """An engine order and its status."""
 
     order_id: int
     upstream_id: UpstreamId
@@ -97,7 +103,7 @@
 
 
 class ClaimStatus(str, Enum):
-    """How far a claimed call has come."""
+    """Status of a claimed call."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -106,20 +112,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Claim:
-    """One non-idempotent call that somebody was allowed to send.
+    """A non-idempotent call that one instance was allowed to send.
 
     Parameters
     ----------
     token : int
-        Version of the state that granted it.
+        Version of the state at which it was granted.
     owner : InstanceId
         The instance that may send the call.
     request_id : RequestId
-        Of the proposal that was granted.
+        Request id of the granted proposal.
     digest : str
-        Of method, path and body.
+        Digest of method, path and body.
     claimed_wall_s : float
-        When it was granted, in seconds since the epoch.
+        Time of the grant, in seconds since the epoch.
+    answer : CallAnswer or None
+        Answer for resends; None if there is none yet, or if it was too large
+        to be kept.
     """
 
     key: ClaimKey
@@ -134,7 +143,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimSlot:
-    """Place of a claim in the order in which claims are forgotten."""
+    """Position of a claim in the order in which claims are removed."""
 
     key: ClaimKey
     token: int
@@ -142,7 +151,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AuditRecord:
-    """One change as the audit trail tells it."""
+    """One change in the audit trail."""
 
     version: int
     wall_s: float
@@ -158,26 +167,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StateLimits:
-    """Bounds of what the state keeps; the same on every replica.
+    """Limits on the size of the state; the same on every replica.
 
     Parameters
     ----------
     audit_records : int
-        Changes kept in the audit trail.
+        Maximum number of changes in the audit trail.
     remembered_results : int
-        Operators' changes whose resend is recognised.
+        Maximum number of results kept to recognise resends.
     claims : int
-        Claims kept at most; when all are younger than the retention, new
-        calls are refused rather than old claims forgotten.
+        Maximum number of claims.  While all are younger than the retention
+        time, new calls are refused rather than old claims removed.
     claim_retention_s : float
-        How long a claim and its answer are kept, in seconds.
+        Time for which a claim and its answer are kept.
     answer_bytes : int
-        Bytes of kept answers at which new calls are refused.
+        Total size of the stored answers from which new calls are refused.
     largest_answer_bytes : int
-        A larger answer is not kept; a resend learns that the call ran and
-        that its answer is gone.
+        Maximum size of a stored answer.  A resend of a call with a larger
+        answer is informed that the call ran and that its answer is lost.
     finished_orders : int
-        Ended engine orders kept for ``currantdeal orders``.
+        Finished engine orders kept for ``currantdeal orders``.
     """
 
     audit_records: int = 10_000
@@ -191,25 +200,25 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClusterState:
-    """Everything that a quorum has agreed on, up to one version.
+    """The state after all committed log entries up to one version.
 
     Parameters
     ----------
     version : int
         Index of the last log entry that was applied.
     last_fence : int
-        Highest fencing number given out.
+        Highest fencing number assigned so far.
     answer_bytes : int
-        Sum of the sizes of the kept answers.
+        Total size of the stored answers.
     log_wall_s : float
         Latest wall-clock time in the log, in seconds since the epoch; it
-        never goes back.
+        never decreases.
     selectors, upstreams, homes, orders, draining, claims : Map
         From a name or key to its record.
     results : Map
-        From request ids to the results that a resend gets again.
+        From request ids to the results that resends receive.
     claim_order, result_order, audit : Fifo
-        What is forgotten first stands first.
+        Oldest first, in the order of removal.
     """
 
     version: int = 0
--- a/currantdeal/state/commands.py
+++ b/currantdeal/state/commands.py
@@ -1,7 +1,7 @@
-"""Changes that instances propose to the replicated state.
+"""Defines the commands that instances propose to the replicated state.
 
-Every command carries who proposed it and a request id, so that a resend
-after a lost answer is recognised and the audit trail can name its author.
+Every command carries its origin: a request id, by which a resend after a lost
+answer is recognised, and the actor, whom the audit trail names.
 """
 
 from dataclasses import dataclass
@@ -31,9 +31,9 @@
     actor : str
         Name of the operator's key, or of the proposing component.
     instance : InstanceId
-        Instance that took the change in.
+        Instance that received the change.
     address : str
-        Network address the change came from; empty for internal changes.
+        Network address of the sender; empty for internal changes.
     wall_s : float
         Wall-clock time of the proposal, in seconds since the epoch.
     """
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AnnounceUpstream:
-    """An upstream appeared, restarted or changed what it serves."""
+    """An upstream started, restarted or changed its announced properties."""
 
     origin: Origin
     upstream: Upstream
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RetireUpstream:
-    """An upstream left, or fell silent, under one incarnation."""
+    """One incarnation of an upstream left or timed out."""
 
     origin: Origin
     upstream_id: UpstreamId
@@ -68,7 +68,7 @@
     """An operator sets and removes labels of one upstream.
 
     ``expected_version`` is the version of the upstream's labels that the
-    operator saw; 0 for an upstream without operators' labels.
+    operator read; 0 for an upstream without operators' labels.
     """
 
     origin: Origin
@@ -100,8 +100,8 @@
 class AssignHome:
     """An instance becomes home of an upstream, with a new fencing number.
 
-    ``expected_fence`` is the fencing number of the home it replaces; 0 for
-    an upstream that had none.
+    ``expected_fence`` is the fencing number of the home that it replaces; 0
+    for an upstream without a home.
     """
 
     origin: Origin
@@ -111,7 +111,7 @@
 
 
 class OrderKind(str, Enum):
-    """What an engine can be ordered to do."""
+    """Kinds of orders to engines."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -119,7 +119,7 @@
 
 
 class OrderStatus(str, Enum):
-    """How far an engine order has come."""
+    """Status of an engine order."""
 
     PENDING = "pending"
     DONE = "done"
@@ -133,9 +133,9 @@
     Parameters
     ----------
     kind : OrderKind
-        What to do.
+        Kind of the order.
     model, adapter, model_version : str
-        What to load or unload; empty where the kind needs none.
+        The model to load or unload; empty where the kind needs none.
     roles : tuple of Role
         The new roles, for ``SET_ROLES``.
     """
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class IssueOrder:
-    """An operator orders an engine to do something; its home carries it."""
+    """An operator issues an order to an engine; its home delivers it."""
 
     origin: Origin
     upstream_id: UpstreamId
@@ -158,7 +158,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FinishOrder:
-    """The home tells how an order ended."""
+    """The home reports the outcome of an order."""
 
     origin: Origin
     order_id: int
@@ -177,7 +177,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimKey:
-    """What makes two non-idempotent calls the same call."""
+    """Identity of a non-idempotent call; resends have the same key."""
 
     caller: CallerId
     service: str
@@ -186,12 +186,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimCall:
-    """An instance asks to be the only one to send a call.
+    """An instance requests the exclusive right to send a call.
 
     Parameters
     ----------
     key : ClaimKey
-        Which call.
+        Identity of the call.
     digest : str
         Digest of method, path and body.
     """
@@ -203,7 +203,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallAnswer:
-    """The answer of a non-idempotent call, kept for resends."""
+    """The answer of a non-idempotent call, stored for resends."""
 
     status: int
     content_type: str
@@ -212,7 +212,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FinishClaim:
-    """The claim's owner has the answer."""
+    """The claim's owner reports the answer of the call."""
 
     origin: Origin
     key: ClaimKey
@@ -222,7 +222,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReleaseClaim:
-    """The claim's owner proves that the call did not run."""
+    """The claim's owner reports that the call certainly did not run."""
 
     origin: Origin
     key: ClaimKey
@@ -231,7 +231,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AbandonClaim:
-    """The claim's owner is gone, or cannot tell whether the call ran."""
+    """The claim's owner failed, or cannot determine whether the call ran."""
 
     origin: Origin
     key: ClaimKey
--- a/currantdeal/state/eligibility.py
+++ b/currantdeal/state/eligibility.py
@@ -1,9 +1,9 @@
-"""Which upstreams the selectors allow for a piece of work.
+"""Finds the upstreams that the selectors allow for a piece of work.
 
-The answer depends only on the version of the state and on a few properties
-of the work, so it is computed once for each and looked up afterwards.  With
-680 upstreams, matching labels for every request would cost more than the
-choice among the matches.
+The answer depends only on the version of the state and on a few properties of
+the work, so it is computed once for each combination and cached.  With 680
+upstreams, matching labels for every request would cost more than the choice
+among the matching upstreams.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WorkClass:
-    """What selectors see of a piece of work, for one role."""
+    """The properties of a piece of work that selectors match, for one role."""
 
     kind: WorkKind
     target: str
@@ -36,22 +36,22 @@
 
 
 class Eligibility:
-    """Answers for one version of the state.
+    """The eligible upstreams at one version of the state.
 
     Parameters
     ----------
     state : ClusterState
-        The state whose selectors and labels count.
+        The state whose selectors and labels apply.
     """
 
     def __init__(self, *, state):
-        """Keep the state; nothing is computed before it is asked for."""
+        """Start with an empty cache; upstreams are matched on demand."""
         self._state = state
         self._allowed = lru_cache(maxsize=1024)(self._find_allowed)
 
     @property
     def version(self):
-        """Version of the state that the answers follow."""
+        """Version of the state."""
         return self._state.version
 
     def allowed(self, wanted):
@@ -65,34 +65,36 @@
         Returns
         -------
         tuple of Upstream
-            In the order of their names.
+            Sorted by their names.
         """
         return self._allowed(wanted)
 
     def _find_allowed(self, wanted):
-        rules = [
+        selectors = [
             rec.selector
             for rec in self._state.selectors.values()
-            if _covers(rec.selector, wanted)
+            if _applies_to(rec.selector, wanted)
         ]
         found = []
         for name in sorted(self._state.upstreams):
             record = self._state.upstreams[name]
-            if _serves(record, wanted) and _any_rule(rules, record):
+            if _can_serve(record, wanted) and _any_selector_matches(
+                selectors, record
+            ):
                 found.append(record.upstream)
         return tuple(found)
 
 
-def _covers(selector, wanted):
+def _applies_to(selector, wanted):
     return (
-        _is_any_or_in(selector.kinds, wanted.kind)
-        and _is_any_or_in(selector.targets, wanted.target)
-        and _is_any_or_in(selector.roles, wanted.role)
-        and _is_any_or_in(selector.caller_regions, wanted.region)
+        _is_empty_or_contains(selector.kinds, wanted.kind)
+        and _is_empty_or_contains(selector.targets, wanted.target)
+        and _is_empty_or_contains(selector.roles, wanted.role)
+        and _is_empty_or_contains(selector.caller_regions, wanted.region)
     )
 
 
-def _serves(record, wanted):
+def _can_serve(record, wanted):
     return (
         record.present
         and not record.withdrawn
@@ -101,15 +103,15 @@
     )
 
 
-def _any_rule(rules, record):
+def _any_selector_matches(selectors, record):
     labels = record.labels
     region = record.upstream.region
     return any(
-        _is_any_or_in(rule.upstream_regions, region)
-        and matches(parse_expression(rule.expression), labels)
-        for rule in rules
+        _is_empty_or_contains(selector.upstream_regions, region)
+        and matches(parse_expression(selector.expression), labels)
+        for selector in selectors
     )
 
 
-def _is_any_or_in(allowed, value):
+def _is_empty_or_contains(allowed, value):
     return not allowed or value in allowed
--- a/currantdeal/state/errors.py
+++ b/currantdeal/state/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the replicated state."""
+"""Defines the errors of the replicated state."""
 
 from currantdeal.core import CurrantdealError
 
@@ -8,4 +8,4 @@
 
 
 class SnapshotError(StateError):
-    """Bytes do not hold a snapshot of the state."""
+    """Bytes are not a valid snapshot of the state."""
--- a/currantdeal/state/fifo.py
+++ b/currantdeal/state/fifo.py
@@ -1,4 +1,4 @@
-"""An immutable first-in-first-out queue that shares structure."""
+"""Provides an immutable first-in-first-out queue with shared structure."""
 
 from dataclasses import dataclass, field, replace
 
@@ -32,7 +32,7 @@
 
     @property
     def first(self):
-        """The oldest value; ``KeyError`` when there is none."""
+        """The oldest value; raises ``KeyError`` if the queue is empty."""
         return self.items[self.head]
 
     def push(self, value):
--- a/currantdeal/state/machine.py
+++ b/currantdeal/state/machine.py
@@ -1,7 +1,7 @@
-"""The state machine: what each command does to the replicated state.
+"""Applies commands to the replicated state.
 
-``apply_command`` is pure: the same commands in the same order give the same
-state on every replica, whatever their clocks say.
+``apply_command`` is a pure function: the same commands in the same order give
+the same state on every replica, independently of their clocks.
 """
 
 from dataclasses import replace
@@ -45,8 +45,8 @@
     OrderIssued,
 )
 
-# A resend of any other command changes nothing more.
-_REMEMBERED = (
+# Results of these are kept for resends.  All other commands are idempotent.
+_DEDUPLICATED = (
     SetLabels,
     ApplySelector,
     DeleteSelector,
@@ -61,9 +61,9 @@
     Parameters
     ----------
     state : ClusterState
-        The state before.
+        The state before the command.
     command : Command
-        What to do.
+        The command to apply.
     version : int
         Index of the command in the log; greater than ``state.version``.
 
@@ -84,10 +84,10 @@
     wall_s = max(state.log_wall_s, command.origin.wall_s)
     state = replace(state, version=version, log_wall_s=wall_s)
     known = state.results.get(command.origin.request_id)
-    if known is not None and isinstance(command, _REMEMBERED):
+    if known is not None and isinstance(command, _DEDUPLICATED):
         return state, known
     state, result = _apply(command, state)
-    if isinstance(command, _REMEMBERED):
+    if isinstance(command, _DEDUPLICATED):
         state = _remember_result(state, command.origin.request_id, result)
     return state, result
 
@@ -109,9 +109,9 @@
     if before is None:
         after = UpstreamRecord(upstream=command.upstream)
     elif command.upstream.incarnation < before.upstream.incarnation:
-        # A delayed announcement of an earlier start would bring back an
-        # address and memory that are gone; requests sent there would fail
-        # until the next announcement.
+        # A delayed announcement of an earlier incarnation would restore an
+        # address and memory that no longer exist.  Requests sent there would
+        # fail until the next announcement.
         return state, Conflict(
             current_version=before.upstream.incarnation,
             message="a later incarnation has announced itself",
@@ -139,7 +139,7 @@
     before = state.upstreams.get(command.upstream_id)
     if before is None:
         return state, Invalid(message="no such upstream")
-    if conflict := _conflict(command, before.labels_version):
+    if conflict := _version_conflict(command, before.labels_version):
         return state, conflict
     try:
         for label in command.labels:
@@ -164,7 +164,7 @@
 def _(command: ApplySelector, state):
     selector = command.selector
     before = state.selectors.get(selector.name)
-    if conflict := _conflict(command, before.version if before else 0):
+    if conflict := _version_conflict(command, before.version if before else 0):
         return state, conflict
     try:
         check_label(selector.name, "")
@@ -183,7 +183,7 @@
     before = state.selectors.get(command.name)
     if before is None:
         return state, Invalid(message="no such selector")
-    if conflict := _conflict(command, before.version):
+    if conflict := _version_conflict(command, before.version):
         return state, conflict
     state = replace(state, selectors=state.selectors.delete(command.name))
     state = append_audit(state, command, command.name, before, None)
@@ -277,7 +277,7 @@
     return claim_rules.abandon_claim(state, command)
 
 
-def _conflict(command, current_version):
+def _version_conflict(command, current_version):
     if command.expected_version == current_version:
         return None
     return Conflict(
--- a/currantdeal/state/results.py
+++ b/currantdeal/state/results.py
@@ -1,4 +1,4 @@
-"""Answers that the replicated state gives to commands."""
+"""Defines the results of commands to the replicated state."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Applied:
-    """The change is made, at this version of the state."""
+    """The command was applied, at this version of the state."""
 
     version: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Conflict:
-    """Another change came first; nothing was changed."""
+    """Another change was applied first; nothing was changed."""
 
     current_version: int
     message: str
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Invalid:
-    """The command makes no sense in this state; nothing was changed."""
+    """The command is not valid in this state; nothing was changed."""
 
     message: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class HomeAssigned:
-    """The proposer is home, under this fencing number."""
+    """The proposed instance is home, with this fencing number."""
 
     version: int
     fence: FencingNumber
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderIssued:
-    """The order is kept under this number."""
+    """The order is stored under this id."""
 
     version: int
     order_id: int
@@ -46,28 +46,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimGranted:
-    """The proposer, and nobody else, may send the call."""
+    """The proposer has the exclusive right to send the call."""
 
     token: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimExists:
-    """The call has been claimed before; its claim tells how it went."""
+    """The call was claimed before; the claim has its status and answer."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimMismatch:
-    """The key was used before for a call with another body."""
+    """The key was used before for a call with another digest."""
 
     message: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimTableFull:
-    """No claim can be kept at present, so the call must not run."""
+    """No further claim can be stored now, so the call must not run."""
 
     retry_after_s: float
 
--- a/currantdeal/state/snapshot.py
+++ b/currantdeal/state/snapshot.py
@@ -1,7 +1,7 @@
-"""The replicated state as bytes, for snapshots and for catching up.
+"""Encodes and decodes the replicated state, for snapshots and catch-up.
 
-Maps are written as tuples of records sorted by their keys, so that equal
-states give equal bytes.
+Maps are encoded as tuples of records sorted by their keys, so that equal
+states have equal bytes.
 """
 
 from dataclasses import dataclass
@@ -59,7 +59,7 @@
 
 
 def encode_state(state):
-    """Return the bytes of a state."""
+    """Return a state encoded as bytes."""
     return msgspec.msgpack.encode(
         _Snapshot(
             version=state.version,
@@ -92,12 +92,12 @@
 
 
 def decode_state(raw):
-    """Return the state that the bytes hold.
+    """Return the state that was encoded as bytes.
 
     Raises
     ------
     SnapshotError
-        If the bytes are not a snapshot.
+        If the bytes are not a valid snapshot.
     """
     try:
         snap = msgspec.msgpack.decode(raw, type=_Snapshot)
--- a/currantdeal/state/tests/builders.py
+++ b/currantdeal/state/tests/builders.py
@@ -1,4 +1,4 @@
-"""Commands and states for tests of the replicated state."""
+"""Builds commands and states for tests of the replicated state."""
 
 import itertools
 
@@ -28,7 +28,7 @@
 
 
 def origin(*, request_id=None, instance="i1", wall_s=0.0):
-    """Return an origin, by default of a request of its own."""
+    """Return an origin, by default with a unique request id."""
     return Origin(
         request_id=request_id or f"request-{next(_numbers)}",
         actor="ana",
@@ -38,7 +38,7 @@
 
 
 def upstream(name="shop-1", *, incarnation=1, labels=(), **changes):
-    """Return a plain service."""
+    """Return an upstream that is a service."""
     fields = {
         "upstream_id": name,
         "incarnation": incarnation,
@@ -91,20 +91,20 @@
 
 
 def finish(token, key="k", *, answer=ANSWER, **who):
-    """Return a command that keeps a call's answer."""
+    """Return a command that stores a call's answer."""
     return FinishClaim(
         origin=origin(**who), key=claim_key(key), token=token, answer=answer
     )
 
 
 class Log:
-    """Applies commands one after the other."""
+    """Applies commands to a state, one after the other."""
 
     def __init__(self, state=None):
         self.state = state or ClusterState()
 
     def apply(self, command):
-        """Return the result of the next command."""
+        """Apply the next command and return its result."""
         version = self.state.version + 1
         self.state, result = apply_command(
             self.state, command, version=version
--- a/currantdeal/state/tests/test_machine.py
+++ b/currantdeal/state/tests/test_machine.py
@@ -55,10 +55,10 @@
     return [upstream.upstream_id for upstream in found]
 
 
-def test_of_two_changes_under_one_version_one_wins():
-    """Two operators change one selector that both saw at one version.
+def test_of_two_changes_to_one_version_the_first_wins():
+    """Two operators change one selector that both read at the same version.
 
-    The later one is told of the conflict instead of undoing the other.
+    The second one gets a conflict instead of undoing the first change.
     """
     log = Log()
     first = selector(expression="tier=gold")
@@ -69,7 +69,7 @@
     assert log.state.selectors["all"].selector.expression == "a=b"
 
 
-def test_resend_is_recognised_only_while_it_is_remembered():
+def test_resend_is_recognised_while_its_result_is_kept():
     log = Log(ClusterState(limits=StateLimits(remembered_results=2)))
     first = selector("one")
     log.apply(first)
@@ -80,10 +80,11 @@
     assert len(log.state.results) == len(log.state.result_order) == 2
 
 
-def test_withdrawal_outlives_a_restart_of_the_upstream():
+def test_withdrawal_survives_a_restart_of_the_upstream():
     """A withdrawn upstream restarts and announces itself again.
 
-    Were its labels forgotten, it would get work that the partner forbade.
+    If its labels were lost, it would receive work that the partner
+    organisation has forbidden.
     """
     log = Log()
     log.apply(announce())
@@ -102,8 +103,11 @@
     assert allowed(log) == ["shop-1"]
 
 
-def test_late_announcement_of_an_earlier_start_is_refused():
-    """An announcement is delayed until after the upstream's restart."""
+def test_delayed_announcement_of_an_earlier_incarnation_is_rejected():
+    """An announcement is delayed until after the upstream's restart.
+
+    It must not bring the earlier incarnation back.
+    """
     log = Log()
     log.apply(announce(incarnation=2))
     assert isinstance(log.apply(announce(incarnation=1)), Conflict)
@@ -114,7 +118,7 @@
     assert log.state.upstreams["shop-1"].present
 
 
-def test_operators_labels_win_over_announced_ones():
+def test_operator_labels_override_announced_ones():
     log = Log()
     log.apply(announce(labels=(("tier", "gold"), ("zone", "a"))))
     log.apply(set_labels(tier="tin", removed=("zone",)))
@@ -135,7 +139,7 @@
         FinishOrder(origin=origin(), order_id=7, status=OrderStatus.DONE),
     ],
 )
-def test_senseless_commands_change_nothing(command):
+def test_invalid_commands_change_nothing(command):
     log = Log()
     before = log.state
     assert isinstance(log.apply(command), Invalid)
@@ -143,8 +147,8 @@
     assert log.state.upstreams == before.upstreams
 
 
-def test_home_is_taken_over_once_and_fences_grow():
-    """Two instances take over one home at the same moment."""
+def test_home_is_taken_over_once_and_fences_increase():
+    """Two instances take over the same home concurrently."""
     log = Log()
 
     def assign(home, fence, request_id=None):
@@ -162,7 +166,7 @@
     assert log.apply(assign("i2", 1, "again")) == won
 
 
-def test_orders_are_kept_until_enough_others_have_ended():
+def test_oldest_finished_orders_are_removed():
     log = Log(ClusterState(limits=StateLimits(finished_orders=2)))
     log.apply(announce())
     order = EngineOrder(kind=OrderKind.LOAD, model="m")
@@ -181,7 +185,7 @@
     assert issued.order_id in log.state.orders
 
 
-def test_audit_names_who_and_what_and_is_bounded():
+def test_audit_records_actor_and_change_and_is_bounded():
     log = Log(ClusterState(limits=StateLimits(audit_records=3)))
     log.apply(announce())
     log.apply(set_labels(tier="gold"))
@@ -196,40 +200,44 @@
     assert (records[-1].before, records[-1].after) == ("false", "true")
 
 
-def test_claim_is_granted_once_and_answered_again():
-    """A caller sends an order, loses the answer and sends it again.
+def test_claim_is_granted_once_and_its_answer_is_kept():
+    """A caller sends a call, loses the answer and retries elsewhere.
 
-    The second instance must not run it, and must give the first answer.
+    The second instance must not run the call, and must return the first
+    answer.
     """
     log = Log()
     granted = log.apply(claim(request_id="r1"))
     assert isinstance(granted, ClaimGranted)
     assert log.apply(claim(request_id="r1")) == granted
-    met = log.apply(claim(request_id="r2"))
-    assert met.claim.status is ClaimStatus.RUNNING
+    repeated = log.apply(claim(request_id="r2"))
+    assert repeated.claim.status is ClaimStatus.RUNNING
     log.apply(finish(granted.token))
-    met = log.apply(claim(request_id="r3"))
-    assert isinstance(met, ClaimExists)
-    assert met.claim.answer == ANSWER
+    repeated = log.apply(claim(request_id="r3"))
+    assert isinstance(repeated, ClaimExists)
+    assert repeated.claim.answer == ANSWER
     assert isinstance(log.apply(claim(digest="other")), ClaimMismatch)
 
 
 @pytest.mark.parametrize("end", [ReleaseClaim, AbandonClaim])
-def test_claim_can_be_given_back_or_left_unknown(end):
+def test_claim_can_be_released_or_abandoned(end):
     log = Log()
     token = log.apply(claim()).token
     wrong = end(origin=origin(), key=claim_key(), token=token + 1)
     assert isinstance(log.apply(wrong), Invalid)
     log.apply(end(origin=origin(), key=claim_key(), token=token))
-    met = log.apply(claim())
+    repeated = log.apply(claim())
     if end is ReleaseClaim:
-        assert isinstance(met, ClaimGranted)
+        assert isinstance(repeated, ClaimGranted)
     else:
-        assert met.claim.status is ClaimStatus.UNKNOWN
+        assert repeated.claim.status is ClaimStatus.UNKNOWN
 
 
-def test_answered_claim_cannot_be_taken_back():
-    """An owner thought dead answers; a late release must not free the key."""
+def test_answered_claim_cannot_be_released():
+    """An owner that was considered failed answers after all.
+
+    A release that arrives later must not free the key.
+    """
     log = Log()
     token = log.apply(claim()).token
     log.apply(finish(token))
@@ -239,10 +247,10 @@
     assert log.apply(claim()).claim.answer == ANSWER
 
 
-def test_full_claim_table_refuses_until_the_oldest_expires():
-    """More orders come within the retention than the table holds.
+def test_full_claim_table_refuses_claims_until_one_expires():
+    """More calls arrive within the retention time than the table can hold.
 
-    Forgetting a young claim would let its resend run a second time.
+    If a younger claim were removed, a resend would run its call again.
     """
     limits = StateLimits(claims=2, claim_retention_s=100.0)
     log = Log(ClusterState(limits=limits))
@@ -255,8 +263,8 @@
     assert isinstance(log.apply(claim("a", wall_s=100.0)), ClaimTableFull)
 
 
-def test_clock_that_goes_back_forgets_no_claim_early():
-    """An instance's clock is hours behind that of another one."""
+def test_lagging_clock_does_not_expire_claims_early():
+    """The clock of one instance is hours behind that of another one."""
     limits = StateLimits(claim_retention_s=100.0)
     log = Log(ClusterState(limits=limits))
     log.apply(claim("a", wall_s=1000.0))
@@ -295,19 +303,20 @@
 
 @settings(deadline=None)
 @given(st.lists(COMMANDS, max_size=30))
-def test_any_commands_keep_the_rules(commands):
-    """Any commands in any order, with a snapshot after each of them.
+def test_restored_replica_agrees_after_any_commands(commands):
+    """Any commands in any order, with a snapshot before each of them.
 
-    A replica that starts from a snapshot has to agree with one that did not.
+    A replica that is restored from a snapshot must have the same state as one
+    that applied the whole log.
     """
     limits = StateLimits(claims=2, claim_retention_s=100.0, audit_records=5)
     log = Log(ClusterState(limits=limits))
     held = {}
     for command in commands:
-        twin = Log(decode_state(encode_state(log.state)))
+        restored = Log(decode_state(encode_state(log.state)))
         result = log.apply(command)
-        assert twin.apply(command) == result
-        assert encode_state(twin.state) == encode_state(log.state)
+        assert restored.apply(command) == result
+        assert encode_state(restored.state) == encode_state(log.state)
         if isinstance(result, ClaimGranted):
             before = held.get(command.key)
             assert before not in log.state.claims.values()
@@ -319,6 +328,6 @@
 
 @settings(deadline=None)
 @given(st.binary(max_size=60))
-def test_damaged_snapshot_is_refused(raw):
+def test_invalid_snapshot_is_rejected(raw):
     with pytest.raises(SnapshotError):
         decode_state(raw)
