--- a/currantdeal/core/__init__.py
+++ b/currantdeal/core/__init__.py
@@ -1,4 +1,4 @@
-"""Values, errors and small functions that every package speaks in."""
+"""Value types, errors and small functions that every package uses."""
 
 from currantdeal.core.codec import Codec
 from currantdeal.core.digests import digest_parts
--- a/currantdeal/core/codec.py
+++ b/currantdeal/core/codec.py
@@ -1,7 +1,8 @@
-"""Bytes of typed messages, for disks and for peers.
+"""Encodes typed messages for storage on disk and for sending to peers.
 
-A message is written as its class's name and its fields, in MessagePack, so
-that a reader knows which class to build.  Only registered classes are read.
+A message is written in MessagePack as the name of its class and its fields, so
+that a reader can tell which class to construct.  Only registered classes are
+decoded.
 
 Examples
 --------
@@ -17,18 +18,18 @@
 
 
 class Codec:
-    """Encodes and decodes frozen data classes of a fixed set.
+    """Encodes and decodes a fixed set of frozen data classes.
 
     Parameters
     ----------
     classes : tuple of type
-        The classes that may be decoded, told apart by their names.
+        The classes that may be decoded, distinguished by their names.
 
     Raises
     ------
     CodecError
         By ``encode`` for a class that is not registered, and by ``decode``
-        for bytes that do not hold a message of a registered class.
+        for bytes that are not a message of a registered class.
     """
 
     def __init__(self, *, classes):
@@ -40,14 +41,14 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     def encode(self, message):
-        """Return the bytes of a message."""
+        """Return the encoded bytes of a message."""
         name = type(message).__name__
         if name not in self._decoders:
             raise CodecError(f"{name} is not a message of this codec")
         return self._encoder.encode((name, message))
 
     def decode(self, raw):
-        """Return the message that the bytes hold."""
+        """Return the message decoded from the bytes."""
         try:
             name, body = self._envelope.decode(raw)
             return self._decoders[name].decode(body)
--- a/currantdeal/core/digests.py
+++ b/currantdeal/core/digests.py
@@ -1,4 +1,4 @@
-"""Digests by which two pieces of content count as the same."""
+"""Computes digests that identify equal content."""
 
 import hashlib
 
@@ -6,8 +6,8 @@
 def digest_parts(*parts):
     """Return the SHA-256 digest of byte strings, 32 bytes.
 
-    Each part is preceded by its length, so that parts that are divided
-    differently have different digests.
+    Each part is preceded by its length, so that the same bytes divided into
+    different parts have different digests.
 
     Examples
     --------
--- a/currantdeal/core/errors.py
+++ b/currantdeal/core/errors.py
@@ -1,17 +1,17 @@
-"""Root of the error tree.
+"""Root of the exception hierarchy, and the errors of core and ports.
 
-Each layer derives its own errors from the root and turns errors of the layer
-below into its own, so that a caller of a layer need not know what is
-underneath.
+Each layer derives its own errors from the root and converts errors of the
+layer below into its own, so that the caller of a layer does not depend on the
+layers below it.
 """
 
 
 class CurrantdealError(Exception):
-    """Base of every error that the project raises on purpose."""
+    """Base class of every error that this program raises deliberately."""
 
 
 class CoreError(CurrantdealError):
-    """A value could not be built, parsed or decoded."""
+    """A value could not be constructed, parsed or decoded."""
 
 
 class ParseError(CoreError):
@@ -23,22 +23,22 @@
 
 
 class PortError(CurrantdealError):
-    """Base of the errors that adapters raise through ports."""
+    """Base class of the errors that adapters raise through ports."""
 
 
 class UpstreamError(PortError):
-    """An upstream could not do what it was asked.
+    """An upstream did not carry out a request.
 
     Parameters
     ----------
     message : str
-        What went wrong, for logs.
+        Description of the failure, for logs.
     ran : Ran
         Whether the work ran on the upstream.
     """
 
     def __init__(self, message, *, ran):
-        """Keep the message and whether the work ran."""
+        """Store the message and whether the work ran."""
         super().__init__(message)
         self.ran = ran
 
@@ -48,62 +48,62 @@
 
 
 class UpstreamSilentError(UpstreamError):
-    """An open connection brought nothing for longer than allowed."""
+    """An open connection received nothing for longer than the time limit."""
 
 
 class UpstreamCrashedError(UpstreamSilentError):
-    """The upstream's process ended while it had the request."""
+    """The upstream's process ended while it was running the request."""
 
 
 class UpstreamRefusedError(UpstreamError):
-    """The upstream answered that it will not do the work."""
+    """The upstream responded that it rejects the work."""
 
 
 class StaleFenceError(UpstreamRefusedError):
-    """The upstream has seen a higher fencing number than the one sent."""
+    """The upstream has received a higher fencing number than the one sent."""
 
 
 class KvExpiredError(UpstreamRefusedError):
-    """The prefill result is gone from the engine that computed it."""
+    """The engine that computed the prefill result no longer holds it."""
 
 
 class StateUnavailableError(PortError):
-    """The replicated state gave no answer in time.
+    """The replicated state did not respond in time.
 
     Parameters
     ----------
     message : str
-        What went wrong, for logs.
+        Description of the failure, for logs.
     proposed : bool
-        True when the command may still be committed later.
+        True if the command may still be committed later.
     """
 
     def __init__(self, message, *, proposed):
-        """Keep the message and whether the command may still commit."""
+        """Store the message and whether the command may still commit."""
         super().__init__(message)
         self.proposed = proposed
 
 
 class LeaseExpiredError(PortError):
-    """The lease on the view of the state has run out at the instance."""
+    """The instance's lease on its view of the state has expired."""
 
 
 class ReservationError(PortError):
-    """An engine's memory or link share could not be reserved.
+    """An engine's memory or a share of its link could not be reserved.
 
     Parameters
     ----------
     message : str
-        What went wrong, for logs.
+        Description of the failure, for logs.
     retry_after_s : float
         Seconds after which the reservation may succeed.
     """
 
     def __init__(self, message, *, retry_after_s=0.0):
-        """Keep the message and when to try again."""
+        """Store the message and the time until a retry."""
         super().__init__(message)
         self.retry_after_s = retry_after_s
 
 
 class DialectError(PortError):
-    """A message from outside cannot be read; the text says where and why."""
+    """A message from outside is malformed; the text names place and cause."""
--- a/currantdeal/core/ids.py
+++ b/currantdeal/core/ids.py
@@ -1,7 +1,8 @@
-"""Names of the things that messages refer to.
+"""Types of the identifiers that messages refer to.
 
-Each is a ``str`` at run time; the distinct types let a type checker and a
-reader tell an upstream's name from a caller's.
+Names are ``str`` at run time, the fencing number is an ``int``; the distinct
+types let a type checker and a reader distinguish an upstream's name from a
+caller's.
 
 Examples
 --------
--- a/currantdeal/core/outcome.py
+++ b/currantdeal/core/outcome.py
@@ -1,14 +1,14 @@
-"""What is known of a request that got no answer.
+"""Outcomes of requests that failed: whether their work ran.
 
-A caller decides from the outcome whether it may send a request again, so an
-outcome is only ever as strong as what is proved.
+A caller decides from the outcome whether it may retry a request, so an outcome
+never states more than is certain.
 """
 
 from enum import Enum
 
 
 class Outcome(str, Enum):
-    """What a refusal says about the work it refuses."""
+    """What an error response states about the work of its request."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -16,7 +16,7 @@
 
 
 class Ran(str, Enum):
-    """Whether an attempt at an upstream ran there."""
+    """Whether an attempt ran on its upstream."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -24,7 +24,7 @@
 
 
 def outcome_of(ran):
-    """Return the outcome that a refusal may state for a last attempt.
+    """Return the outcome to state when the last attempt failed.
 
     Examples
     --------
--- a/currantdeal/core/prefixes.py
+++ b/currantdeal/core/prefixes.py
@@ -1,7 +1,7 @@
-"""Keys of a prompt's leading blocks, for prefix caches.
+"""Computes keys of a prompt's leading blocks, for prefix caches.
 
-Engines report keys of what they hold and instances compute the keys of what
-callers ask; both must cut prompts in the same way.
+Engines report the keys of the prefixes that they cache, and instances compute
+the keys of callers' prompts; both must divide prompts in the same way.
 
 Examples
 --------
@@ -14,10 +14,13 @@
 from xxhash import xxh3_64
 
 BLOCK_BYTES = 1024
-"""Length of a block; 256 tokens of usual text."""
+"""Length of a block; about 256 tokens of typical text."""
 
 MAX_BLOCKS = 64
-"""Blocks hashed at most; what follows is rarely shared between prompts."""
+"""Maximum number of hashed blocks.
+
+Text beyond them is rarely shared between prompts.
+"""
 
 _SIGNED_MASK = (1 << 63) - 1
 
@@ -25,7 +28,7 @@
 def prefix_keys(prompt):
     """Return one key for each whole leading block, longest prefix last.
 
-    Keys fit in a signed integer of 64 bits, as peers' messages need it.
+    Keys fit in a signed 64-bit integer, as messages between peers require.
     """
     raw = prompt.encode()
     longest = min(len(raw), BLOCK_BYTES * MAX_BLOCKS)
--- a/currantdeal/core/selectors.py
+++ b/currantdeal/core/selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: which labelled upstreams may serve which kind of work.
+"""Selectors, which restrict the upstreams that may serve a kind of work.
 
 The expression over labels follows the grammar of Kubernetes' label
 selectors: ``a=b``, ``a==b``, ``a!=b``, ``a in (b, c)``, ``a notin (b, c)``,
@@ -43,7 +43,7 @@
 
 
 class Operator(str, Enum):
-    """How a term compares a label's value."""
+    """Condition of a term on the value of a label."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Selector:
-    """An operator's rule that lets labelled upstreams serve work.
+    """An operator's rule that allows labelled upstreams to serve work.
 
-    Empty tuples mean "any".  Work that no selector allows is refused.
+    Empty tuples mean "any".  Work that no selector allows is rejected.
 
     Parameters
     ----------
     name : str
-        Unique name, by which it is replaced or deleted.
+        Unique name, under which it can be replaced or deleted.
     expression : str
         Requirement on the upstream's labels; empty matches every upstream.
     kinds : tuple of WorkKind
@@ -94,7 +94,7 @@
 
 
 def matches(terms, labels):
-    """Return whether a mapping of labels satisfies every term."""
+    """Return whether a mapping of label names to values meets every term."""
     return all(_satisfies(term, labels) for term in terms)
 
 
@@ -117,7 +117,7 @@
 
 
 def check_label(name, value):
-    """Raise ``ParseError`` unless name and value can stand in a selector."""
+    """Raise ``ParseError`` unless a selector can express name and value."""
     if len(name) > 253 or not _LABEL_NAME.fullmatch(name):
         raise ParseError(f"not a label name: {name!r}")
     if len(value) > 63 or not _LABEL_VALUE.fullmatch(value):
@@ -126,14 +126,14 @@
 
 def _parse_term(text):
     if found := _SET_TERM.fullmatch(text):
-        name, word, inside = found.groups()
-        values = tuple(value.strip() for value in inside.split(","))
+        name, operator_text, value_list = found.groups()
+        values = tuple(value.strip() for value in value_list.split(","))
         for value in values:
             check_label(name, value)
-        return Term(name=name, operator=Operator(word), values=values)
+        return Term(name=name, operator=Operator(operator_text), values=values)
     if found := _EQUAL_TERM.fullmatch(text):
-        name, sign, value = found.groups()
-        operator = Operator.NOT_IN if sign == "!=" else Operator.IN
+        name, operator_sign, value = found.groups()
+        operator = Operator.NOT_IN if operator_sign == "!=" else Operator.IN
         return Term(name=name, operator=operator, values=(value,))
     if found := _EXISTS_TERM.fullmatch(text):
         absent, name = found.groups()
--- a/currantdeal/core/tests/test_selectors.py
+++ b/currantdeal/core/tests/test_selectors.py
@@ -42,12 +42,12 @@
     "text",
     ["=x", "a=b=c", "a in b", "a in (b", "a,,b", "a b", "-a", "x" * 3000],
 )
-def test_other_texts_are_refused(text):
+def test_invalid_expressions_are_rejected(text):
     with pytest.raises(ParseError):
         parse_expression(text)
 
 
-def test_labels_that_no_selector_could_name_are_refused():
+def test_labels_outside_the_selector_grammar_are_rejected():
     check_label("example.com/tier", "gold")
     with pytest.raises(ParseError):
         check_label("tier ", "gold")
--- a/currantdeal/core/upstreams.py
+++ b/currantdeal/core/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams as they announce themselves, and what they report."""
+"""Announcements and load reports of upstreams."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class UpstreamKind(str, Enum):
-    """What stands behind an upstream's address."""
+    """What an upstream is: a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Label:
-    """One label of an upstream."""
+    """A name and a value attached to an upstream, used by selectors."""
 
     name: str
     value: str = ""
@@ -31,36 +31,36 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Upstream:
-    """What an upstream says of itself when it announces.
+    """Properties of an upstream, as it announces them.
 
     Parameters
     ----------
     upstream_id : UpstreamId
         Stable name of the upstream.
     incarnation : int
-        Grows with each start of the upstream under the same name.
+        Increases with each start of the upstream under the same name.
     address : str
         ``IP:PORT`` of its HTTP interface.
     kind : UpstreamKind
         Engine or plain service.
     roles : tuple of Role
-        Parts of a request it can serve at present.
+        Parts of a request it can currently serve.
     targets : tuple of str
         Models it has loaded, or the names of the services it serves.
     region, data_center : str
-        Where it stands.
+        Its location.
     labels : tuple of Label
-        Labels it announces; operators' labels win over them.
+        Labels it announces; operators' labels take precedence.
     pieces_total : int
         Fixed-size pieces of engine memory; 0 for services.
     tokens_per_piece : int
         Tokens whose KV cache fits in one piece.
     link_bytes_per_s : float
-        Rate of its transfer link.
+        Bandwidth of its transfer link.
     kv_bytes_per_token : int
         Size of the KV cache of one token.
     checks_fencing : bool
-        True when it refuses an order with an old fencing number.
+        True if it rejects orders with an outdated fencing number.
     """
 
     upstream_id: UpstreamId
@@ -81,26 +81,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """What an upstream reports of its load; it lags behind the truth.
+    """An upstream's report of its load, which lags behind the actual load.
 
     Parameters
     ----------
     upstream_id : UpstreamId
-        Whose load it is.
+        The upstream that reports.
     incarnation : int
-        Of the upstream that reports.
+        Incarnation of that upstream.
     running, queued : int
-        Requests in the batch and before it.
+        Number of requests in the running batch, and of those queued for it.
     queued_tokens : int
-        Prompt tokens that wait for prefill.
+        Number of prompt tokens queued for prefill.
     pieces_free : int
-        Free pieces of engine memory.
+        Number of free pieces of engine memory.
     step_s : float
         Measured time of one decode step, in seconds.
     prefill_tokens_per_s : float
         Measured rate of prefill.
     cached_prefixes : tuple of int
-        Prefix keys that the engine said it holds; late and with gaps.
+        Keys of the prefixes that the engine reports as cached; delayed and
+        incomplete.
     """
 
     upstream_id: UpstreamId
--- a/currantdeal/core/work.py
+++ b/currantdeal/core/work.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, as decisions see it."""
+"""Description of a caller's request, on which decisions are based."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -16,34 +16,34 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Work:
-    """One request of a caller, without its body.
+    """A caller's request without its body.
 
     Parameters
     ----------
     request_id : RequestId
         Unique among all instances.
     caller : CallerId
-        Who is charged for the work.
+        The caller to whom the work is charged.
     kind : WorkKind
-        What kind of work it is.
+        Kind of the work.
     target : str
-        The model's name, or the plain service's name.
+        Name of the model or of the plain service.
     region : RegionId
         Region of the instance that accepted the request.
     prompt_tokens : int
         Estimated length of the prompt, in tokens; 0 for services.
     max_output_tokens : int
-        Most tokens the answer may have; 0 for services.
+        Maximum number of output tokens; 0 for services.
     prefix_keys : tuple of int
         Hashes of the prompt's leading blocks, longest prefix last.
     arrived_s : float
         Monotonic time of arrival, in seconds.
     deadline_s : float
-        Monotonic time by which the first output must be out, in seconds.
+        Monotonic time by which the first output must be sent, in seconds.
     idempotent : bool
-        True when running the work twice does no harm.
+        True if the work may safely run twice.
     priority : int
-        Higher is served first among equals.
+        Work of higher priority is served first among otherwise equal work.
     """
 
     request_id: RequestId
--- a/currantdeal/node/__init__.py
+++ b/currantdeal/node/__init__.py
@@ -1,7 +1,7 @@
-"""What the processes of a deployment share: settings, sockets, messages.
+"""Settings, HTTP, peer connections and logs of entry and control processes.
 
-The processes run on one event loop.  ``waitress`` and ``urllib3`` need a
-thread for each open stream, and a wake-up of another thread for each event
-of it; entries have a fraction of a core.  ``h11`` is their nearest kin on an
-event loop.
+Each process runs on one event loop.  ``waitress`` and ``urllib3`` need a
+thread for each open stream and a thread switch for each of its events, which
+is too much for entries: they have a fraction of a core.  ``h11`` is the
+closest equivalent that runs on an event loop.
 """
--- a/currantdeal/node/connection_pool.py
+++ b/currantdeal/node/connection_pool.py
@@ -1,10 +1,11 @@
-"""Connections to upstreams, kept for reuse, and small exchanges on them.
-
-Load pattern: connection churn.  Many entries each call many engines now and
-then, and a new connection costs a round trip and work of the engine.  So
-connections are kept for as long as the upstream keeps them, for requests that
-may be lost and sent again; what may run only once goes on a connection that
-was used lately.
+"""Pool of connections to upstreams, and small exchanges over them.
+
+The load pattern is connection churn: many entries each call many engines now
+and then, and a new connection costs a round trip and work on the engine.
+Idle connections are therefore kept for as long as the upstream keeps them and
+reused for retryable requests.  A request that may run only once is sent only
+on a recently used connection, because an upstream may be closing an older
+one.
 """
 
 import asyncio
@@ -20,61 +21,64 @@
 from currantdeal.policy.reset_outcome import Moment
 
 CONNECT_TIMEOUT_S = 0.8
-"""Time to open a connection: less than until a lost first packet is repeated.
+"""Timeout for opening a connection.
+
+It is shorter than the time after which TCP retransmits a lost first packet.
 """
 
 MAX_IDLE = 16
-"""Idle connections kept for one upstream."""
+"""Maximum number of idle connections kept for one upstream."""
 
 
 class ConnectionPool:
-    """Connections to upstreams, kept for reuse.
+    """Pool of reusable connections to upstreams.
 
     A new connection costs an upstream as much as several health checks.
     """
 
     def __init__(self):
-        """Start without any."""
+        """Start with an empty pool."""
         self._idle = {}
 
     async def take(
         self, address, *, timeout_s=CONNECT_TIMEOUT_S, harmless=False
     ):
-        """Return a connection, kept or new.
+        """Return an idle connection, or a new one if there is none.
 
         Parameters
         ----------
         harmless : bool
-            True for a request that may be lost and sent again; a connection
-            that has been idle for longer will do.
+            True for a retryable request, one that may be lost and sent
+            again; connections that have been idle for longer are then
+            reused as well.
 
         Raises
         ------
         ConnectError
-            If none could be opened in time.
+            If no connection could be opened in time.
         """
-        kept = self._idle.get(address)
-        while kept:
-            connection = kept.pop()
+        idle = self._idle.get(address)
+        while idle:
+            connection = idle.pop()
             if connection.is_usable(harmless=harmless):
                 return connection
             connection.close()
         return await self.open(address, timeout_s=timeout_s)
 
     def is_connected(self, address):
-        """Return whether a kept connection would do for a harmless request."""
-        kept = self._idle.get(address, ())
-        return any(c.is_usable(harmless=True) for c in kept)
+        """Return whether an idle connection can take a retryable request."""
+        idle = self._idle.get(address, ())
+        return any(c.is_usable(harmless=True) for c in idle)
 
     async def open(self, address, *, timeout_s=CONNECT_TIMEOUT_S):
-        """Return a new connection.
+        """Open and return a new connection.
 
         Raises
         ------
         ConnectRefusedError
-            If nobody listens there.
+            If no process listens at the address.
         ConnectError
-            If none could be opened in time.
+            If the connection could not be opened in time.
         """
         loop = asyncio.get_running_loop()
         host, port = split_address(address)
@@ -84,7 +88,9 @@
                     lambda: UpstreamConnection(address=address), host, port
                 )
         except TimeoutError:
-            raise ConnectError(f"{address} does not accept") from None
+            raise ConnectError(
+                f"{address} does not accept connections"
+            ) from None
         except ConnectionRefusedError as exc:
             raise ConnectRefusedError(f"{address}: {exc}") from exc
         except OSError as exc:
@@ -92,10 +98,10 @@
         return connection
 
     def put_back(self, connection):
-        """Keep a connection whose exchange is over, or close it."""
-        kept = self._idle.setdefault(connection.address, [])
-        if connection.reusable and len(kept) < MAX_IDLE:
-            kept.append(connection)
+        """Return a connection to the pool after an exchange, or close it."""
+        idle = self._idle.setdefault(connection.address, [])
+        if connection.reusable and len(idle) < MAX_IDLE:
+            idle.append(connection)
         else:
             connection.close()
 
@@ -108,42 +114,42 @@
 async def exchange(
     pool, address, outgoing, *, timeout_s, limit=1 << 20, harmless=False
 ):
-    """Send a small request and return the head and the whole body.
+    """Send a small request and return the response head and the whole body.
 
     Parameters
     ----------
     timeout_s : float
-        Time for an answer.
+        Time within which the whole response must be received.
     limit : int
-        Largest body, in bytes.
+        Maximum size of the response body, in bytes.
     harmless : bool
-        True for a request that may be lost and sent again.  If the upstream
-        had given up the kept connection on which it was sent, it is sent
-        once more on a new one.
+        True for a retryable request, one that may be lost and sent again.
+        If the upstream had already closed the reused connection on which it
+        was sent, the request is sent once more on a new connection.
 
     Raises
     ------
     ExchangeError
-        If there is no whole answer within ``timeout_s``.
+        If no complete response is received within ``timeout_s``.
     """
     connection = await pool.take(
         address, timeout_s=timeout_s, harmless=harmless
     )
-    kept = connection.used
+    reused = connection.used
     try:
         return await _exchange_on(
             pool, connection, outgoing, timeout_s=timeout_s, limit=limit
         )
     except BrokenAnswerError as exc:
-        if not (harmless and kept):
+        if not (harmless and reused):
             raise
-        broken = exc
+        first_error = exc
     try:
         connection = await pool.open(address, timeout_s=timeout_s)
     except ConnectRefusedError:
-        # The upstream had not given the connection up: it ended, and the
-        # request that was sent may be why.
-        raise broken from None
+        # The upstream's process has ended, rather than just closed an idle
+        # connection, and the request that was sent may have crashed it.
+        raise first_error from None
     return await _exchange_on(
         pool, connection, outgoing, timeout_s=timeout_s, limit=limit
     )
--- a/currantdeal/node/dialect.py
+++ b/currantdeal/node/dialect.py
@@ -1,7 +1,8 @@
-"""How the product meets the dialect of callers, upstreams and operators.
+"""Protocols that translate to and from the formats of outer interfaces.
 
-The product decides what is sent and what an answer means for a request; a
-dialect knows the names and formats.
+The other packages decide what is sent and what a response means for a
+request.  A dialect implements the header names, paths and body formats that
+callers, upstreams and operators use.
 """
 
 from dataclasses import dataclass
@@ -12,22 +13,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerRequest:
-    """What a caller's head says besides method, path and body.
+    """Decoded headers of a caller's request.
 
     Parameters
     ----------
     request_id : str
-        The caller's name of this attempt; empty if missing.
+        The caller's id of this attempt; empty if missing.
     patience_s : float or None
-        Time that the caller waits for the answer.
+        Time that the caller waits for the response; None if it names none.
     prompt_tokens, max_output_tokens : int
-        Size of a generation; 0 where it is none.
+        Size of a generation; 0 if the request is not a generation.
     expected_output_tokens : int
-        The caller's estimate of the output; 0 without one.
+        The caller's estimate of the output length; 0 if it gives none.
     resume_after : str
-        Id of the last event that the caller has, or empty.
+        Id of the last event that the caller has received, or empty.
     caller : str
-        Whom the request says that it is from: its credentials, or empty.
+        The caller's identity as the request claims it: its credentials, or
+        empty.
     """
 
     request_id: str
@@ -41,16 +43,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Directions:
-    """What the system adds to a request for one upstream.
+    """Parameters that the system adds to a request for one upstream.
 
     Parameters
     ----------
     upstream : str
-        The upstream that is meant; another one at its address refuses.
+        Id of the addressed upstream; another one that now runs at the same
+        address rejects the request.
     time_left_s : float
-        Time in which the answer is of use.
+        Time remaining until the response is no longer of use.
     prefill_only : bool
-        True to read the prompt and keep its KV cache for another engine.
+        True to compute the prompt's KV cache only and keep it for another
+        engine.
     kv_source : str
         Where the engine fetches the KV cache of the prompt, or empty.
     reservation : str
@@ -69,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamLoad:
-    """Requests running and waiting at an upstream, and its places."""
+    """Number of running and queued requests at an upstream, and of slots."""
 
     running: int
     waiting: int
@@ -78,20 +82,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReplyTraits:
-    """What the head of an upstream's answer says.
+    """Decoded headers of an upstream's response.
 
     Parameters
     ----------
     not_run : bool
-        True when the upstream says that it did not run the request.
+        True if the upstream states that it did not run the request.
     genuine : bool
-        True when the head bears the upstream's signature.
+        True if the response head carries the upstream's signature.
     request_id : str
-        The request that is answered, or empty.
+        Id of the request that the response belongs to, or empty.
     load : UpstreamLoad or None
-        The upstream's load, where it tells it.
+        The upstream's load; None if the response does not report it.
     answered_by : str
-        Name of the upstream that answers, where it tells it, or empty.
+        Name of the responding upstream; empty if not reported.
     """
 
     not_run: bool
@@ -102,61 +106,75 @@
 
 
 class UpstreamDialect(Protocol):
-    """Requests to upstreams and their answers."""
+    """Encodes requests to upstreams and decodes their responses."""
 
     def read_caller(self, head):
-        """Return the ``CallerRequest`` of a head.
+        """Return the ``CallerRequest`` decoded from a request head.
 
         Raises
         ------
         DialectError
-            If a header that decides about the request is unreadable.
+            If a header that affects how the request is handled is malformed.
         """
 
     def outgoing(self, head, body, directions):
         """Return the ``Outgoing`` request for an upstream."""
 
     def read_reply(self, head):
-        """Return the ``ReplyTraits`` of an answer's head."""
+        """Return the ``ReplyTraits`` decoded from a response head."""
 
     def reply_headers(self, head):
-        """Return the headers of an answer that the caller gets.
+        """Return the response headers that are forwarded to the caller.
 
-        A length is left out; whoever passes the answer on frames it anew.
+        ``Content-Length`` is left out, since the forwarding code frames the
+        body itself.
         """
 
     def check_health(self, address, path):
-        """Return the ``Outgoing`` call that checks an upstream's health."""
+        """Return the ``Outgoing`` health check for an upstream."""
 
     def reserve(self, address, *, tokens, hold_s, upstream):
         """Return the ``Outgoing`` call that reserves memory at an engine."""
 
     def read_reservation(self, body):
-        """Return the id of a reservation; ``DialectError`` if unreadable."""
+        """Return the id of a reservation.
+
+        Raises
+        ------
+        DialectError
+            If the body is malformed.
+        """
 
     def release_reservation(self, address, reservation):
-        """Return the ``Outgoing`` call that gives a reservation back."""
+        """Return the ``Outgoing`` call that releases a reservation."""
 
     def read_prefill(self, body):
-        """Return the handle of a KV cache; ``DialectError`` if unreadable."""
+        """Return the handle of a KV cache.
+
+        Raises
+        ------
+        DialectError
+            If the body is malformed.
+        """
 
     def release_prefill(self, address, handle):
         """Return the ``Outgoing`` call that frees a KV cache."""
 
     def change_stage(self, address, order):
-        """Return the ``Outgoing`` call for a ``StageOrder``."""
+        """Return the ``Outgoing`` call that carries a ``StageOrder``."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class StageOrder:
-    """An order to an engine to do another part of generations.
+    """An order that switches an engine to another stage of generations.
 
     Parameters
     ----------
     holder : str
-        The instance that gives the order.
+        The instance that issues the order.
     fencing_number : int
-        Rises with each holder, so that an engine can refuse an old one.
+        Increases with each new holder, so that an engine can reject orders
+        of a former one.
     """
 
     upstream: str
@@ -166,22 +184,40 @@
 
 
 class ControlDialect(Protocol):
-    """Calls that upstreams, operators and callers make to control."""
+    """Decodes calls to control instances and encodes their responses.
+
+    The calls come from upstreams, operators and callers.
+    """
 
     def read_operation(self, head):
-        """Return the ``Operation`` that a call asks for, or None."""
+        """Return the ``Operation`` of a call; None if it is unknown."""
 
     def read_announcement(self, upstream, body):
-        """Return an ``UpstreamRecord``; ``DialectError`` if unreadable."""
+        """Return an ``UpstreamRecord``.
+
+        Raises
+        ------
+        DialectError
+            If the body is malformed.
+        """
 
     def read_config(self, body):
-        """Return a ``RoutingConfig``; ``DialectError`` if unreadable."""
+        """Return a ``RoutingConfig``.
+
+        Raises
+        ------
+        DialectError
+            If the body is malformed.
+        """
 
     def directory_answer(self, addresses, keep_s):
-        """Return the body that tells callers where to connect."""
+        """Return the body that lists the addresses callers connect to.
+
+        They may keep the list for ``keep_s`` seconds.
+        """
 
     def error_answer(self, reason):
-        """Return the body that tells why a call was refused."""
+        """Return the body that gives the reason why a call was refused."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -193,24 +229,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leave:
-    """An upstream's last word."""
+    """An upstream deregisters before it stops."""
 
     upstream: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class PutConfig:
-    """An operator brings a configuration."""
+    """An operator submits a configuration."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class GetConfig:
-    """An operator reads the configuration back."""
+    """An operator reads the current configuration."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class FindEntries:
-    """A caller asks where to connect."""
+    """A caller looks up the entries that it may connect to."""
 
     host: str
     region: str
@@ -219,7 +255,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AskReady:
-    """The machines' supervisor asks whether the instance is ready."""
+    """The supervisor of the machines runs the readiness check."""
 
 
 Operation = Announce | Leave | PutConfig | GetConfig | FindEntries | AskReady
--- a/currantdeal/node/errors.py
+++ b/currantdeal/node/errors.py
@@ -1,40 +1,40 @@
-"""Errors of the event-loop processes."""
+"""Errors raised by this package, which runs on the event loop."""
 
 from currantdeal.core.errors import CurrantdealError
 from currantdeal.policy.reset_outcome import Moment
 
 
 class NodeError(CurrantdealError):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class SettingsFileError(NodeError):
-    """The settings file cannot be used; the message says where and why."""
+    """The settings file is invalid; the message names the place and reason."""
 
 
 class PeerUnreachableError(NodeError):
-    """Another instance did not answer in time."""
+    """Another instance could not be reached or did not respond in time."""
 
 
 class ExchangeError(NodeError):
-    """An exchange with an upstream failed.
+    """An HTTP exchange with an upstream failed.
 
     Parameters
     ----------
     message : str
-        What went wrong.
+        Description of the failure.
     moment : Moment
-        How far the exchange had come.
+        Phase of the exchange in which it failed.
     """
 
     def __init__(self, message, *, moment):
-        """Keep the message and the moment."""
+        """Store the message and the phase."""
         super().__init__(message)
         self.moment = moment
 
     @property
     def sent(self):
-        """Whether anything was written, so that the upstream may have run."""
+        """True if any of the request was written, so that it may have run."""
         return self.moment is not Moment.CONNECTING
 
 
@@ -42,17 +42,17 @@
     """No connection could be opened."""
 
     def __init__(self, message):
-        """Keep the message; nothing was written."""
+        """Store the message; no part of the request was written."""
         super().__init__(message, moment=Moment.CONNECTING)
 
 
 class ConnectRefusedError(ConnectError):
-    """Nobody listens at the address: its process has ended."""
+    """No process listens at the address: the upstream has ended."""
 
 
 class BrokenAnswerError(ExchangeError):
-    """The answer ended early, or is not HTTP."""
+    """The response was truncated or is not valid HTTP."""
 
 
 class SilentUpstreamError(ExchangeError):
-    """No answer came in time."""
+    """The upstream did not respond in time."""
--- a/currantdeal/node/fingerprint.py
+++ b/currantdeal/node/fingerprint.py
@@ -1,27 +1,30 @@
-"""By what two requests count as the same one, sent again."""
+"""Fingerprints that identify repeated attempts of the same request."""
 
 from currantdeal.core import digest_parts
 
 FINGERPRINT_BYTES = 16
 
 SHOWN_BYTES = 4
-"""Bytes that logs show: enough to match lines, too few to confirm a guess of
-the content."""
+"""Bytes of a fingerprint that logs show.
+
+They suffice to match log lines and are too few to confirm a guess of the
+content.
+"""
 
 
 def fingerprint_of(request, call):
-    """Return the fingerprint of a request, independent of the attempt.
+    """Return the fingerprint of a request, the same for all its attempts.
 
     It covers method, host, path, query, the caller's credentials and the body.
-    Other headers may differ between attempts, and so may the network address:
-    an organisation has many machines.
+    Other headers may differ between attempts.  So may the network address,
+    since an organisation sends from many machines.
 
     Parameters
     ----------
     request : currantdeal.node.http_request.Request
-        The whole request.
+        The complete request.
     call : currantdeal.node.dialect.CallerRequest
-        What its head says.
+        The decoded headers of the request.
     """
     head = request.head
     digest = digest_parts(
@@ -35,5 +38,5 @@
 
 
 def shown(fingerprint):
-    """Return a fingerprint as logs show it."""
+    """Return the hexadecimal prefix of a fingerprint shown in logs."""
     return fingerprint[:SHOWN_BYTES].hex()
--- a/currantdeal/node/head.py
+++ b/currantdeal/node/head.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages, independent of who parses them."""
+"""Heads of HTTP messages, independent of the HTTP parser in use."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
         b"expect",
     }
 )
-"""Headers that concern one connection and are never passed on (RFC 9110)."""
+"""Hop-by-hop headers, which are never forwarded (RFC 9110)."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Outgoing:
-    """A request as it is to be sent."""
+    """A request to be sent to an upstream."""
 
     method: str
     target: str
@@ -57,7 +57,7 @@
 
 
 def find_header(headers, name, default=None):
-    """Return the value of the first header of a name, as text.
+    """Return the value of the first header with this name, as text.
 
     Examples
     --------
@@ -72,16 +72,20 @@
 
 
 def end_to_end(headers, *, without=frozenset()):
-    """Return the headers that are passed on to the next hop."""
-    named = _named_by_connection(headers)
+    """Return the headers that are forwarded to the next hop.
+
+    Hop-by-hop headers, those listed in ``Connection`` and those in
+    ``without`` are left out.
+    """
+    listed = _connection_options(headers)
     return tuple(
         (key, value)
         for key, value in headers
-        if key not in HOP_BY_HOP and key not in named and key not in without
+        if key not in HOP_BY_HOP and key not in listed and key not in without
     )
 
 
-def _named_by_connection(headers):
+def _connection_options(headers):
     values = [value for key, value in headers if key == b"connection"]
     return {
         part.strip().lower() for value in values for part in value.split(b",")
--- a/currantdeal/node/http_client.py
+++ b/currantdeal/node/http_client.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 towards upstreams, on the event loop.
+"""HTTP/1.1 client connections to upstreams, on the event loop.
 
-An answer belongs to a request only if it is whole, well-formed and came on a
-connection that carried nothing else since.  Everything else ends the
-connection, so that a late or superfluous answer never reaches another
-caller.
+A response is attributed to a request only if it is complete, well-formed and
+the only data received on its connection since that request.  Anything else
+closes the connection, so that a late or unsolicited response is never returned
+to another caller.
 """
 
 import asyncio
@@ -17,35 +17,38 @@
 from currantdeal.policy.reset_outcome import Moment
 
 IDLE_REUSE_S = 4.0
-"""Longest idle time after which any request may be sent on a connection.
+"""Maximum idle time after which any request may be sent on a connection.
 
-An upstream that closes an idle connection may do so while a request is on
-its way, and whether that request ran is then unknown.  Most upstreams keep
-idle connections for five seconds or more; where one names its own time, half
-of that holds.
+An upstream may close an idle connection while a request is in transit, and
+whether that request ran is then unknown.  Most upstreams keep idle connections
+for five seconds or more.  If an upstream states its own keep-alive timeout and
+half of it is shorter, that half applies.
 """
 
 IDLE_MARGIN_S = 1.5
-"""Time before the end that an upstream names, for requests that may be lost.
+"""Margin before the stated keep-alive timeout, for retryable requests.
 
-Upstreams name whole seconds.  A reservation or a prompt that is lost is sent
+Upstreams state whole seconds.  A reservation or a prompt that is lost is sent
 again on a new connection.
 """
 
-LONGEST_KEPT_S = 86_400
-"""Longest idle time that an upstream is believed to keep a connection."""
+MAX_KEEP_ALIVE_S = 86_400
+"""Upper limit for the keep-alive timeout that an upstream states."""
 
-_KEPT_DIGITS = len(str(LONGEST_KEPT_S)) + 1
+_KEEP_ALIVE_DIGITS = len(str(MAX_KEEP_ALIVE_S)) + 1
 
 MAX_UNREAD_BYTES = 262_144
-"""Answer bytes that wait for a slow caller before reading stops."""
+"""Unread response bytes beyond which reading from the upstream pauses.
+
+They accumulate when a caller reads slowly.
+"""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to an upstream, one exchange at a time."""
+    """A connection to an upstream that carries one exchange at a time."""
 
     def __init__(self, *, address):
-        """Wait for the connection to be made."""
+        """Initialise the state; the event loop connects afterwards."""
         self.address = address
         self.used = False
         self._loop = asyncio.get_running_loop()
@@ -53,45 +56,48 @@
         self._transport = None
         self._events = deque()
         self._waiter = None
-        self._lost = None
+        self._close_reason = None
         self._moment = Moment.CONNECTING
         self._unread = 0
         self._paused = False
         self._idle_since_s = 0.0
-        self._kept_s = None
+        self._keep_alive_s = None
         self._reusable = False
 
     def connection_made(self, transport):
-        """Take up the transport."""
+        """Store the transport and set the options of its socket."""
         self._transport = transport
         self._idle_since_s = self._loop.time()
         transport.set_write_buffer_limits(high=0)
         prepare_socket(transport)
 
     def pause_writing(self):
-        """Note that a part of the request waits to be written."""
+        """Record that a part of the request is not yet written."""
         if self._moment is Moment.AWAITING_ANSWER:
             self._moment = Moment.SENDING
 
     def resume_writing(self):
-        """Note that the whole request is written."""
+        """Record that the whole request is written."""
         if self._moment is Moment.SENDING:
             self._moment = Moment.AWAITING_ANSWER
 
     def data_received(self, data):
-        """Parse what came; what nobody asked for ends the connection."""
+        """Parse received data; unsolicited data closes the connection."""
         if self._http.our_state is h11.IDLE:
-            self._fail("bytes without a request")
+            self._fail("received bytes without a pending request")
             return
         self._moment = Moment.WITHIN_ANSWER
         try:
             self._http.receive_data(data)
             self._parse()
         except h11.RemoteProtocolError as exc:
-            self._fail(f"not HTTP: {exc}")
+            self._fail(f"invalid HTTP response: {exc}")
 
     def eof_received(self):
-        """Note the end, which completes an answer without a length."""
+        """Handle the end of the stream.
+
+        It completes a response that has no length.
+        """
         try:
             self._http.receive_data(b"")
             self._parse()
@@ -100,23 +106,24 @@
         return False
 
     def connection_lost(self, exc):
-        """Tell a reader that waits."""
-        if self._lost is None:
-            self._lost = f"connection lost: {exc or 'closed'}"
+        """Record the reason and wake the waiting reader."""
+        if self._close_reason is None:
+            self._close_reason = f"connection lost: {exc or 'closed'}"
         self._wake()
 
     def is_usable(self, *, harmless=False):
-        """Return whether another request may be sent.
+        """Return whether another request may be sent on this connection.
 
         Parameters
         ----------
         harmless : bool
-            True for a request that may be lost and sent again.
+            True for a retryable request, one that may be lost and sent
+            again.
         """
-        if self._lost is not None or self._transport.is_closing():
+        if self._close_reason is not None or self._transport.is_closing():
             return False
         idle_s = self._loop.time() - self._idle_since_s
-        return idle_s < _reuse_limit_s(self._kept_s, harmless=harmless)
+        return idle_s < _reuse_limit_s(self._keep_alive_s, harmless=harmless)
 
     def send(self, outgoing):
         """Write a request."""
@@ -135,11 +142,11 @@
         self._transport.write(raw)
 
     async def head(self):
-        """Return the head of the answer."""
+        """Return the head of the response."""
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
-                self._note_keep_alive(event)
+                self._record_keep_alive(event)
                 return ReplyHead(
                     status=event.status_code, headers=tuple(event.headers)
                 )
@@ -147,7 +154,7 @@
     async def chunk(self):
         """Return the next bytes of the body; None at its end."""
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Data):
                 self._unread -= len(event.data)
                 if self._paused and self._unread < MAX_UNREAD_BYTES // 2:
@@ -159,26 +166,29 @@
                 return None
 
     async def rest(self, *, limit=1 << 26):
-        """Return the rest of the body."""
+        """Return the rest of the body.
+
+        A body of more than ``limit`` bytes closes the connection.
+        """
         parts = []
         size = 0
         while (data := await self.chunk()) is not None:
             parts.append(data)
             size += len(data)
             if size > limit:
-                self._fail("the answer is too large")
+                self._fail("the response is too large")
         return b"".join(parts)
 
     @property
     def reusable(self):
-        """True unless an exchange left the connection unclean."""
+        """True unless an exchange was incomplete or the connection closed."""
         clean = self._reusable or not self.used
-        return clean and self._lost is None
+        return clean and self._close_reason is None
 
     def close(self):
-        """Close at once, which cancels what the upstream does for it."""
-        if self._lost is None:
-            self._lost = "closed here"
+        """Abort the connection, which cancels the upstream's work for it."""
+        if self._close_reason is None:
+            self._close_reason = "closed locally"
         self._transport.abort()
 
     def _parse(self):
@@ -198,11 +208,11 @@
             if isinstance(event, h11.EndOfMessage):
                 return
 
-    async def _next(self):
+    async def _next_event(self):
         while not self._events:
-            if self._lost is not None:
+            if self._close_reason is not None:
                 raise BrokenAnswerError(
-                    f"{self._lost} ({self._moment.value})",
+                    f"{self._close_reason} ({self._moment.value})",
                     moment=self._moment,
                 )
             self._waiter = self._loop.create_future()
@@ -217,14 +227,14 @@
             self._waiter.set_result(None)
 
     def _fail(self, reason):
-        if self._lost is None:
-            self._lost = reason
+        if self._close_reason is None:
+            self._close_reason = reason
         self._transport.abort()
         self._wake()
 
     def _end_exchange(self):
         extra, _ = self._http.trailing_data
-        clean = not extra and self._lost is None
+        clean = not extra and self._close_reason is None
         done = (
             self._http.our_state is h11.DONE
             and self._http.their_state is h11.DONE
@@ -236,25 +246,25 @@
         else:
             self.close()
 
-    def _note_keep_alive(self, event):
+    def _record_keep_alive(self, event):
         for key, value in event.headers:
             if key == b"keep-alive":
-                self._kept_s = _named_s(value)
+                self._keep_alive_s = _keep_alive_timeout_s(value)
 
 
-def _named_s(value):
-    """Return the idle time that a Keep-Alive header names, or None."""
+def _keep_alive_timeout_s(value):
+    """Return the timeout stated by a Keep-Alive header, or None."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
-            return min(LONGEST_KEPT_S, int(number[:_KEPT_DIGITS]))
+            return min(MAX_KEEP_ALIVE_S, int(number[:_KEEP_ALIVE_DIGITS]))
     return None
 
 
-def _reuse_limit_s(kept_s, *, harmless):
-    if kept_s is None:
+def _reuse_limit_s(keep_alive_s, *, harmless):
+    if keep_alive_s is None:
         return IDLE_REUSE_S
-    careful_s = min(IDLE_REUSE_S, kept_s / 2)
+    conservative_s = min(IDLE_REUSE_S, keep_alive_s / 2)
     if harmless:
-        return max(careful_s, kept_s - IDLE_MARGIN_S)
-    return careful_s
+        return max(conservative_s, keep_alive_s - IDLE_MARGIN_S)
+    return conservative_s
--- a/currantdeal/node/http_request.py
+++ b/currantdeal/node/http_request.py
@@ -1,4 +1,7 @@
-"""One request of a caller and its answer, as handlers see them."""
+"""Requests of callers and their responses, as handlers see them.
+
+Also checks request heads for forms that two parsers may read differently.
+"""
 
 import re
 
@@ -6,42 +9,42 @@
 
 
 class RefusedRequest(Exception):  # noqa: N818
-    """The bytes are not a request that may be handled.
+    """The received bytes are not an acceptable request.
 
     Parameters
     ----------
     status : int
-        Status to answer with.
+        HTTP status of the response.
     reason : str
         Text for the caller.
     detail : str
-        What the parser says, for the log.
+        The parser's error message, for the log.
     """
 
     def __init__(self, status, reason, *, detail=""):
-        """Keep the status and the detail."""
+        """Store the status and the detail."""
         super().__init__(reason)
         self.status = status
         self.detail = detail
 
 
 class Request:
-    """One whole request.
+    """A complete request.
 
     Parameters
     ----------
     head : RequestHead
         Method, target and headers.
     body : bytes
-        The whole body, with no transfer coding.
+        The whole body, with its transfer coding removed.
     arrived_s : float
-        Loop time at which its first bytes came.
+        Event-loop time at which its first bytes were received.
     sender : str
-        Network address that it came from, or empty.
+        Network address of the sender, or empty.
     """
 
     def __init__(self, *, head, body, arrived_s, sender=""):
-        """Keep the parts."""
+        """Store the parts."""
         self.head = head
         self.body = body
         self.arrived_s = arrived_s
@@ -49,33 +52,36 @@
 
 
 class Responder:
-    """Writes one answer to a caller."""
+    """Writes one response to a caller."""
 
     def __init__(self, *, connection):
-        """Answer on a connection."""
+        """Write to a connection."""
         self._connection = connection
         self.started = False
 
     def begin(self, status, headers):
-        """Send the head; without a length the body is sent in chunks."""
+        """Send the head.
+
+        Without a length among the headers, the body is sent in chunks.
+        """
         self.started = True
         self._connection.send_head(status, headers)
 
     async def send(self, data):
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a part of the body; wait while the caller reads slowly."""
         self._connection.send_body(data)
         await self._connection.writable()
 
     def finish(self):
-        """End the answer as complete."""
+        """End the response as complete."""
         self._connection.send_end()
 
     def abort(self):
-        """Break the answer off so that it cannot look complete."""
+        """Abort the connection so that the response cannot look complete."""
         self._connection.abort()
 
     def answer(self, status, headers, body):
-        """Send a whole answer."""
+        """Send a whole response."""
         length = (b"content-length", str(len(body)).encode("ascii"))
         self.begin(status, (*headers, length))
         if body:
@@ -84,7 +90,13 @@
 
 
 def check_head(head):
-    """Refuse a head that two parsers may end in different places."""
+    """Reject a head that two parsers may end in different places.
+
+    Raises
+    ------
+    RefusedRequest
+        If a header line is folded or a line does not end with CR LF.
+    """
     if b"\n " in head or b"\n\t" in head:
         raise RefusedRequest(400, "folded header lines are not accepted")
     if head.count(b"\n") != head.count(b"\r\n"):
@@ -92,15 +104,15 @@
 
 
 def check_target(target):
-    """Refuse a target of which two parsers may make two paths.
+    """Reject a target that two parsers may resolve to different paths.
 
     A route matches by the prefix of a path.  An upstream that resolves dot
-    segments would run another path than the one that was matched.
+    segments would run a different path from the one that was matched.
 
     Raises
     ------
     RefusedRequest
-        If the target is no path, or has dot segments, plain or encoded.
+        If the target is not a path, or has plain or encoded dot segments.
 
     Examples
     --------
@@ -117,7 +129,7 @@
 
 
 def check_version(version):
-    """Refuse a major version of HTTP other than 1.
+    """Reject a major version of HTTP other than 1.
 
     Raises
     ------
@@ -137,7 +149,7 @@
 
 
 def content_length(headers):
-    """Return the length that a head names, or 0."""
+    """Return the value of the ``Content-Length`` header, or 0."""
     for key, value in headers:
         if key == b"content-length":
             return int(value)
--- a/currantdeal/node/http_server.py
+++ b/currantdeal/node/http_server.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 towards callers, on the event loop.
+"""HTTP/1.1 server for callers, on the event loop.
 
-Requests are taken whole before they are handled, so that nothing is sent to
-an upstream on behalf of a caller who never finishes.  Everything that two
-parsers may read in two ways is refused: a request that this process ends in
-one place and an upstream in another would smuggle a second request past the
-routes.
+Each request is received completely before it is handled, so that nothing is
+sent to an upstream on behalf of a caller that never finishes.  Requests that
+two parsers may read differently are rejected: if this process and an upstream
+disagreed about where a request ends, a second request could be smuggled past
+the routes.
 """
 
 import asyncio
@@ -26,10 +26,13 @@
 from currantdeal.routing import CallerLimits
 
 READ_AHEAD_BYTES = 65_536
-"""Bytes of pipelined requests that are kept before reading stops."""
+"""Buffered bytes of pipelined requests beyond which reading pauses."""
 
-CLOSE_PATIENCE_S = 0.5
-"""Time left to a caller to read a refusal before its connection closes."""
+CLOSE_DELAY_S = 0.5
+"""Delay before the connection is closed after an error response.
+
+It gives the caller time to read the response.
+"""
 
 _log = structlog.get_logger(__name__)
 
@@ -41,13 +44,13 @@
 
 
 class HttpServer:
-    """Accepts connections and passes whole requests to a handler.
+    """Accepts connections and passes complete requests to a handler.
 
     Parameters
     ----------
     handler : callable
         Coroutine function of a ``Request`` and a ``Responder``; cancelled
-        when the caller leaves.
+        when the caller disconnects.
     limits : callable
         Returns the ``CallerLimits`` in force.
     on_refused : callable
@@ -56,7 +59,7 @@
     """
 
     def __init__(self, *, handler, limits=CallerLimits, on_refused=None):
-        """Keep the parts; nothing listens before ``start``."""
+        """Store the parameters; ``start`` begins listening."""
         self.handler = handler
         self.limits = limits
         self.on_refused = on_refused or (lambda status, reason, detail: None)
@@ -65,7 +68,7 @@
         self._server = None
 
     async def start(self, host, port):
-        """Listen."""
+        """Start to listen at a host and port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(server=self), host, port, backlog=1024
@@ -77,15 +80,15 @@
         return self._server.sockets[0].getsockname()[:2]
 
     def stop_listening(self):
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self):
-        """Close the connections without a request; end the others after it.
+        """Close idle connections, and each other one after its request.
 
-        A request that is already on its way when its connection closes gets
-        a reset, which tells its caller that it was not read.
+        A request that is in transit when its connection closes is answered
+        with a reset, from which the caller learns that it was not read.
         """
         self.closing = True
         for connection in tuple(self.connections):
@@ -105,16 +108,16 @@
         self._sender = ""
         self._http = None
         self._head_bytes = bytearray()
-        self._in_body = False
-        self._began_s = None
+        self._head_parsed = False
+        self._request_started_s = None
         self._request = None
         self._body = []
         self._body_length = 0
         self._task = None
         self._timer = None
-        self._resumed = None
+        self._drain_waiter = None
         self._reading = True
-        self._ending = False
+        self._is_closing = False
 
     @property
     def is_busy(self):
@@ -125,47 +128,47 @@
         self._sender = (transport.get_extra_info("peername") or ("",))[0]
         prepare_socket(transport)
         self._server.connections.add(self)
-        self._new_http()
-        self._wait_idle()
+        self._reset_parser()
+        self._start_idle_timer()
 
     def connection_lost(self, exc):
         self._server.connections.discard(self)
         self._cancel_timer()
-        if self._resumed is not None and not self._resumed.done():
-            self._resumed.set_result(None)
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self):
-        self._resumed = self._loop.create_future()
+        self._drain_waiter = self._loop.create_future()
 
     def resume_writing(self):
-        if self._resumed is not None and not self._resumed.done():
-            self._resumed.set_result(None)
-        self._resumed = None
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
+        self._drain_waiter = None
 
     async def writable(self):
-        if self._resumed is not None:
-            await self._resumed
+        if self._drain_waiter is not None:
+            await self._drain_waiter
 
     def data_received(self, data):
-        if self._ending:
+        if self._is_closing:
             return
-        if self._began_s is None:
-            self._began_s = self._loop.time()
+        if self._request_started_s is None:
+            self._request_started_s = self._loop.time()
             if self._task is None:
                 limit = self._server.limits().head_timeout_s
-                self._set_timer(limit, self._head_is_late)
+                self._set_timer(limit, self._request_timed_out)
         self._head_bytes += data
         self._advance()
 
     def eof_received(self):
-        # A caller that closes its side gives up what it asked for: nothing
-        # in HTTP/1.1 lets it go on reading only.
+        # A caller that closes its side abandons its request: HTTP/1.1 defines
+        # no way to continue only reading.
         return False
 
     def close_if_idle(self):
-        if not self.is_busy and self._began_s is None:
+        if not self.is_busy and self._request_started_s is None:
             self._transport.close()
 
     def _advance(self):
@@ -177,39 +180,43 @@
         try:
             self._parse()
         except RefusedRequest as exc:
-            self._refuse(exc)
+            self._reject(exc)
         except h11.RemoteProtocolError as exc:
-            # The parser's own text quotes raw bytes.
-            self._refuse(
+            # The parser's message quotes raw bytes, so it goes to the log
+            # only and not to the caller.
+            self._reject(
                 RefusedRequest(
                     exc.error_status_hint,
-                    _MALFORMED.get(exc.error_status_hint, "not a request"),
+                    _MALFORMED.get(
+                        exc.error_status_hint,
+                        "the bytes are not an HTTP request",
+                    ),
                     detail=str(exc),
                 )
             )
 
     def _parse(self):
-        if not self._in_body and not self._take_head():
+        if not self._head_parsed and not self._receive_head():
             return
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
                 if not self._head_bytes:
-                    self._continue_if_asked()
+                    self._send_continue_if_expected()
                     return
                 self._http.receive_data(bytes(self._head_bytes))
                 self._head_bytes.clear()
             elif isinstance(event, h11.Request):
-                self._take_request(event)
+                self._start_request(event)
             elif isinstance(event, h11.Data):
-                self._take_body(event.data)
+                self._append_body(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 self._dispatch()
                 return
             else:
                 return
 
-    def _take_head(self):
+    def _receive_head(self):
         while self._head_bytes.startswith(b"\r\n"):
             del self._head_bytes[:2]
         limit = self._server.limits().max_head_bytes
@@ -224,15 +231,17 @@
         check_head(head)
         del self._head_bytes[: end + 4]
         self._http.receive_data(head)
-        self._in_body = True
+        self._head_parsed = True
         return True
 
-    def _take_request(self, event):
+    def _start_request(self, event):
         headers = tuple(event.headers)
         names = [key for key, _ in headers]
         if b"content-length" in names and b"transfer-encoding" in names:
-            # The next hop may believe the other of the two.
-            raise RefusedRequest(400, "both a length and a transfer coding")
+            # The next hop may use the other of the two to find the end.
+            raise RefusedRequest(
+                400, "both a Content-Length and a transfer coding"
+            )
         check_version(event.http_version.decode("ascii"))
         target = event.target.decode("latin-1")
         check_target(target)
@@ -247,13 +256,13 @@
         self._body = []
         self._body_length = 0
 
-    def _take_body(self, data):
+    def _append_body(self, data):
         self._body_length += len(data)
         if self._body_length > self._server.limits().max_body_bytes:
             raise RefusedRequest(413, "the body is too large")
         self._body.append(bytes(data))
 
-    def _continue_if_asked(self):
+    def _send_continue_if_expected(self):
         if self._http.they_are_waiting_for_100_continue:
             self._write(h11.InformationalResponse(status_code=100, headers=[]))
 
@@ -262,7 +271,7 @@
         request = Request(
             head=self._request,
             body=b"".join(self._body),
-            arrived_s=self._began_s,
+            arrived_s=self._request_started_s,
             sender=self._sender,
         )
         self._body = []
@@ -277,7 +286,7 @@
             self._transport.abort()
             raise
         except Exception as exc:
-            # Its caller has no answer, or a part of one.
+            # The caller has received no response or only a part of one.
             _log.exception("handler-failed", why=repr(exc))
             self._transport.abort()
         finally:
@@ -295,19 +304,19 @@
             self._transport.close()
             return
         self._head_bytes[:0] = self._http.trailing_data[0]
-        self._new_http()
-        self._in_body = False
-        self._began_s = None
+        self._reset_parser()
+        self._head_parsed = False
+        self._request_started_s = None
         if not self._reading:
             self._reading = True
             self._transport.resume_reading()
         if self._head_bytes:
-            self._began_s = self._loop.time()
+            self._request_started_s = self._loop.time()
             limit = self._server.limits().head_timeout_s
-            self._set_timer(limit, self._head_is_late)
+            self._set_timer(limit, self._request_timed_out)
             self._advance()
         else:
-            self._wait_idle()
+            self._start_idle_timer()
 
     def send_head(self, status, headers):
         more = [(key, value) for key, value in headers]
@@ -331,9 +340,9 @@
         if not self._transport.is_closing():
             self._transport.write(self._http.send(event))
 
-    def _refuse(self, refusal):
+    def _reject(self, refusal):
         self._cancel_timer()
-        self._ending = True
+        self._is_closing = True
         self._server.on_refused(refusal.status, str(refusal), refusal.detail)
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             body = (str(refusal) + "\n").encode()
@@ -347,16 +356,18 @@
             )
             self._write(h11.Data(data=body))
             self._write(h11.EndOfMessage())
-        # Closing with unread bytes would reset the connection and could
-        # destroy the refusal before the caller has read it.
+        # Closing with unread bytes would reset the connection, which could
+        # discard the error response before the caller has read it.
         if self._transport.can_write_eof():
             self._transport.write_eof()
-        self._loop.call_later(CLOSE_PATIENCE_S, self._transport.close)
+        self._loop.call_later(CLOSE_DELAY_S, self._transport.close)
 
-    def _head_is_late(self):
-        self._refuse(RefusedRequest(408, "the request came too slowly"))
+    def _request_timed_out(self):
+        self._reject(
+            RefusedRequest(408, "the request was not received in time")
+        )
 
-    def _wait_idle(self):
+    def _start_idle_timer(self):
         limit = self._server.limits().idle_timeout_s
         self._set_timer(limit, self._transport.close)
 
@@ -369,7 +380,7 @@
             self._timer.cancel()
             self._timer = None
 
-    def _new_http(self):
+    def _reset_parser(self):
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=1 << 20
         )
--- a/currantdeal/node/logs.py
+++ b/currantdeal/node/logs.py
@@ -1,10 +1,10 @@
-"""Log lines of a process: JSON on standard output, bounded, never blocking.
+"""Writes a process's log lines as JSON to standard output without blocking.
 
-The load pattern is a failure at peak: every request has something to tell,
-and whoever reads the lines falls behind.  A process that waited for its
-reader would stop serving; one that kept everything would run out of memory.
-So lines wait in a bounded buffer, what does not fit is counted, and a later
-line tells the count.
+The load pattern is a failure at peak load: every request logs several lines,
+and the process that reads them falls behind.  Waiting for the reader would
+stop serving, and buffering every line would exhaust the memory.  Lines are
+therefore held in a bounded queue; lines that do not fit are dropped and
+counted, and a later line reports the count.
 """
 
 import fcntl
@@ -16,60 +16,61 @@
 import structlog
 
 MAX_WAITING_LINES = 2_000
-"""Lines kept for a reader that is behind: about half a megabyte."""
+"""Maximum number of lines queued for a slow reader: about half a megabyte."""
 
 LINES_PER_S = 400.0
-"""Lines written per second at most, averaged over a few seconds.
+"""Maximum rate of log lines, averaged over a few seconds.
 
-An entry at its peak ends some tens of requests a second with up to four
-lines each; the rest is room for a failure.
+An entry at its peak completes some tens of requests a second with up to four
+lines each; the rest is headroom for a failure.
 """
 
 BURST_LINES = 2_000
+"""Capacity of the token bucket that limits the rate of log lines."""
 
 
 class LineWriter:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without waiting for its reader.
 
     Parameters
     ----------
     descriptor : int
-        Put into non-blocking mode.
+        File descriptor; it is put into non-blocking mode.
     clock : callable
         Returns monotonic seconds.
     """
 
     def __init__(self, *, descriptor=1, clock=time.monotonic):
-        """Put the descriptor into non-blocking mode."""
+        """Put the file descriptor into non-blocking mode."""
         self._descriptor = descriptor
         self._clock = clock
         self._waiting = deque()
         self._dropped = 0
-        self._allowance = float(BURST_LINES)
-        self._at_s = clock()
+        self._tokens = float(BURST_LINES)
+        self._refilled_s = clock()
         self._partial = b""
         flags = fcntl.fcntl(descriptor, fcntl.F_GETFL)
         fcntl.fcntl(descriptor, fcntl.F_SETFL, flags | os.O_NONBLOCK)
 
     @property
     def dropped(self):
-        """Lines dropped since the last line that told of it."""
+        """Number of lines dropped since the last line that reported it."""
         return self._dropped
 
     def write(self, line):
-        """Take a line, or count it as dropped."""
-        if not self._admit() or len(self._waiting) >= MAX_WAITING_LINES:
+        """Queue a line and write it, or drop and count it."""
+        if not self._take_token() or len(self._waiting) >= MAX_WAITING_LINES:
             self._dropped += 1
             return
         if self._dropped:
-            told = {"event": "log-lines-dropped", "count": self._dropped}
-            self._waiting.append(msgspec.json.encode(told) + b"\n")
+            report = {"event": "log-lines-dropped", "count": self._dropped}
+            self._waiting.append(msgspec.json.encode(report) + b"\n")
             self._dropped = 0
         self._waiting.append(line)
         self.flush()
 
     def flush(self):
-        """Write what the reader takes now."""
+        """Write as many queued lines as the reader accepts now."""
         while self._partial or self._waiting:
             if not self._partial:
                 self._partial = self._waiting.popleft()
@@ -78,20 +79,20 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; the process goes on without a log.
+                # The reader has closed its end; continue without logging.
                 self._partial = b""
                 self._waiting.clear()
                 return
             self._partial = self._partial[written:]
 
-    def _admit(self):
+    def _take_token(self):
         now_s = self._clock()
-        gained = (now_s - self._at_s) * LINES_PER_S
-        self._allowance = min(BURST_LINES, self._allowance + gained)
-        self._at_s = now_s
-        if self._allowance < 1.0:
+        gained = (now_s - self._refilled_s) * LINES_PER_S
+        self._tokens = min(BURST_LINES, self._tokens + gained)
+        self._refilled_s = now_s
+        if self._tokens < 1.0:
             return False
-        self._allowance -= 1.0
+        self._tokens -= 1.0
         return True
 
 
@@ -111,7 +112,7 @@
     Parameters
     ----------
     instance : str
-        Named in every line.
+        Name of the instance; it is added to every line.
     """
     writer = writer or LineWriter()
     structlog.configure(
--- a/currantdeal/node/messages.py
+++ b/currantdeal/node/messages.py
@@ -1,7 +1,8 @@
-"""What the processes of a deployment say to each other.
+"""Messages that entry and control processes exchange.
 
-Notices are sent and forgotten; calls get one answer.  All are read by one
-codec, so that a process refuses what it does not know instead of guessing.
+Notices are sent without a response; calls receive one response.  All are
+decoded by one codec, so that a process rejects unknown messages instead of
+guessing their meaning.
 """
 
 from dataclasses import dataclass
@@ -15,21 +16,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RaftNotice:
-    """Messages of the replicated log, each encoded by its own codec."""
+    """Raft messages, each encoded by the codec of the replicated log."""
 
     messages: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class JoinCall:
-    """A control instance asks to become a replica; answered by ``Done``.
+    """A control instance requests to join as a replica; returns ``Done``.
 
     Parameters
     ----------
     blank : bool
-        True when it has no durable state.
+        True if it has no durable state.
     forwarded : bool
-        True when another instance passed the call on.
+        True if another instance forwarded the call.
     """
 
     instance: str
@@ -40,9 +41,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveCall:
-    """A control instance that stops asks not to count any more.
+    """A stopping control instance requests its removal as a replica.
 
-    Answered by ``Done``: accepted once it is no member of the replica set.
+    Returns ``Done``, which is accepted once the instance is no longer a
+    member of the replica set.
     """
 
     instance: str
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProposeConfigCall:
-    """Ask the leader to bring a configuration into force."""
+    """Request that the leader bring a configuration into force."""
 
     version: int
     raw: bytes
@@ -58,17 +60,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadConfigCall:
-    """Ask the leader for the newest configuration."""
+    """Request the newest configuration from the leader."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigAnswer:
-    """The newest configuration, or that it is not known which one that is.
+    """The newest configuration, if the responding instance can be certain.
 
     Parameters
     ----------
     certain : bool
-        False when the answering instance may not be the leader any more.
+        False if the responding instance may no longer be the leader.
     version : int
         0 before the first configuration.
     """
@@ -80,14 +82,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Done:
-    """Whether a call did what it asked for."""
+    """Whether a call was carried out."""
 
     accepted: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class SpreadCall:
-    """News of upstreams and entries, between control instances."""
+    """New records of upstreams and entries, sent between control instances."""
 
     upstreams: tuple[UpstreamRecord, ...] = ()
     entries: tuple[EntryRecord, ...] = ()
@@ -95,7 +97,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Renewal:
-    """A heartbeat that brought no news."""
+    """A heartbeat that changed nothing in its record but the sequence."""
 
     name: str
     started_ms: int
@@ -104,17 +106,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RenewalsNotice:
-    """The renewing heartbeats that an instance has received lately.
+    """Heartbeats without changes that an instance has received recently.
 
     Parameters
     ----------
     sender : str
         Peer address of that instance.
     data_center : str
-        Where that instance is.
+        Data centre of that instance.
     demand : dict
-        Demand of each service that entries reported to it since the last
-        notice.
+        Demand of each service that entries reported to that instance since
+        its last notice.
     """
 
     sender: str
@@ -126,20 +128,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RecordsCall:
-    """Ask a control instance for all its records: a ``SpreadCall``."""
+    """Request all records of a control instance; returns a ``SpreadCall``."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class SubscribeCall:
-    """An entry asks for the view; answered by ``Done``, then notices come.
+    """An entry subscribes to the view of a control instance.
+
+    Returns ``Done``; the view follows in notices.
 
     Parameters
     ----------
     config_version : int
-        The version that the entry holds; 0 if none.
+        Version of the configuration that the entry holds; 0 if none.
     provisional : bool
-        True if an instance out of touch with the leader will do: no other
-        was found.
+        True if the entry also accepts an instance that has lost contact with
+        the leader, because it found no other.
     """
 
     entry: EntryRecord
@@ -163,12 +167,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LoadNotice:
-    """Load of engines: an entry's, or a sum over entries.
+    """Load on engines, caused by one entry or summed over entries.
 
     Parameters
     ----------
     sender : str
-        The entry, or the peer address of the control instance.
+        Name of the entry, or peer address of the control instance.
     """
 
     sender: str
@@ -190,7 +194,8 @@
     Parameters
     ----------
     complete : bool
-        True when upstreams that are not named here are not there.
+        True if the notice lists all upstreams, so that any other one no
+        longer exists.
     """
 
     upstreams: tuple[UpstreamRecord, ...]
@@ -199,13 +204,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SwitchingNotice:
-    """An engine was ordered to do another stage.
+    """An engine was ordered to switch to another stage.
 
     Parameters
     ----------
     for_s : float
-        Time for which it takes no work, unless it announces the new stage
-        before.
+        Time for which it accepts no work, unless it announces the new stage
+        earlier.
     """
 
     upstream: str
@@ -214,14 +219,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadingNotice:
-    """An entry has a prompt read by a decode engine.
+    """An entry runs the prefill of a prompt on a decode engine.
 
     Parameters
     ----------
     entry : str
-        The entry.
+        Name of the entry.
     for_s : float
-        Time that it will take.
+        Expected duration of the prefill.
     """
 
     entry: str
@@ -231,12 +236,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CrashesNotice:
-    """What is known of requests that crash upstreams.
+    """Records of requests that are suspected of crashing upstreams.
 
     Parameters
     ----------
     asked_by : str
-        Peer address of the sender if it wants to be told all in return.
+        Peer address of the sender if it requests all records in return;
+        otherwise empty.
     """
 
     records: tuple[SuspectRecord, ...]
@@ -245,14 +251,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControlPlace:
-    """Where a control instance is.
+    """Address and data centre of a control instance.
 
     Parameters
     ----------
     address : str
         Its peer address.
     data_center : str
-        Empty while it is not known.
+        Empty while it is unknown.
     """
 
     address: str
@@ -266,12 +272,13 @@
     Parameters
     ----------
     current : bool
-        True while it is in touch with the leader, so that its view is at
+        True while it has contact with the leader, so that its view is at
         most seconds old.
     control : tuple of ControlPlace
-        The control instances.
+        All control instances.
     entries : int
-        Number of entries, for shares of limits that all keep together.
+        Number of entries, from which each entry computes its share of limits
+        that apply to all of them together.
     """
 
     current: bool
--- a/currantdeal/node/peers.py
+++ b/currantdeal/node/peers.py
@@ -1,8 +1,8 @@
-"""Connections between instances: Thrift frames over TCP.
+"""Connections between instances, which carry Thrift frames over TCP.
 
-A frame is a notice, a call or the answer to a call.  A connection that has
-gone silent shows as a call without an answer or as unacknowledged bytes;
-either ends it, and the next message opens a new one.
+A frame is a notice, a call or the answer to a call.  A dead connection is
+detected by a call that times out or by unacknowledged bytes; either closes
+it, and the next message opens a new one.
 """
 
 import asyncio
@@ -19,76 +19,77 @@
 from currantdeal.node.sockets import prepare_socket
 
 HEARTBEAT_S = 0.5
-"""Interval at which control instances and entries hear from each other.
+"""Interval of heartbeats between control instances and entries.
 
-Two missed ones are noticed within half of the 2.5 s in which an upstream
-that leaves must be known everywhere.
+Two missed heartbeats are detected within half of the 2.5 s in which all
+instances must be notified that an upstream left.
 """
 
 MAX_FRAME_BYTES = 16_777_216
-"""Largest frame: four times the largest configuration that is accepted."""
+"""Maximum frame size: four times the largest accepted configuration."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Time to open a connection: forty times the delay between regions."""
+"""Timeout for opening a connection: 40 times the delay between regions."""
 
 MAX_BACKLOG_BYTES = 8_388_608
-"""Bytes that wait for a slow peer before its connection is given up."""
+"""Unsent bytes for a slow peer beyond which its connection is aborted."""
 
 _LENGTH = struct.Struct("!I")
 _PROTOCOL = TBinaryProtocolAcceleratedFactory()
 
 
 def pack_frame(kind, number, message):
-    """Return the bytes of a frame with its length."""
+    """Return the bytes of a frame, preceded by its length."""
     frame = Frame(kind=kind, number=number, body=PEER_CODEC.encode(message))
     raw = serialize(frame, _PROTOCOL)
     return _LENGTH.pack(len(raw)) + raw
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection, accepted or opened.
+    """A connection to another instance, accepted or opened.
 
     Parameters
     ----------
     on_notice : callable
         Called with this connection and a notice.
     on_call : callable
-        Coroutine function of this connection and a call; returns the answer.
+        Coroutine function of this connection and a call; returns the answer
+        to the call.
     on_lost : callable
         Called with this connection when it ends.
     """
 
     def __init__(self, *, on_notice, on_call, on_lost):
-        """Wait for the connection."""
+        """Store the callbacks; the event loop connects afterwards."""
         self._on_notice = on_notice
         self._on_call = on_call
         self._on_lost = on_lost
         self._transport = None
         self._buffer = bytearray()
-        self._calls = {}
-        self._number = 0
+        self._pending_calls = {}
+        self._last_call_number = 0
         self._tasks = set()
 
     @property
     def is_open(self):
-        """True until the connection ends."""
+        """True while the connection is open."""
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport):
-        """Take up the transport."""
+        """Store the transport and set the options of its socket."""
         self._transport = transport
         prepare_socket(transport)
 
     def connection_lost(self, exc):
-        """Fail the calls without an answer."""
-        for future in self._calls.values():
+        """Fail the pending calls."""
+        for future in self._pending_calls.values():
             if not future.done():
                 future.set_exception(PeerUnreachableError("connection lost"))
-        self._calls.clear()
+        self._pending_calls.clear()
         self._on_lost(self)
 
     def data_received(self, data):
-        """Take frames out of the bytes."""
+        """Extract and handle the complete frames in the buffer."""
         self._buffer += data
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
@@ -100,16 +101,16 @@
                 return
             raw = bytes(self._buffer[_LENGTH.size : end])
             del self._buffer[:end]
-            if not self._take_frame(raw):
+            if not self._handle_frame(raw):
                 self._transport.abort()
                 return
 
     def notify(self, message):
-        """Send a message that gets no answer."""
+        """Send a message without waiting for a response."""
         self._write(pack_frame(FrameKind.NOTICE, 0, message))
 
     def send_packed(self, raw):
-        """Send a frame that was packed before, for many receivers."""
+        """Send a frame that was encoded once for many receivers."""
         self._write(raw)
 
     async def call(self, message, *, timeout_s):
@@ -118,12 +119,12 @@
         Raises
         ------
         PeerUnreachableError
-            If no answer comes in time; the connection is given up.
+            If no answer is received in time; the connection is then closed.
         """
-        self._number += 1
-        number = self._number
+        self._last_call_number += 1
+        number = self._last_call_number
         future = asyncio.get_running_loop().create_future()
-        self._calls[number] = future
+        self._pending_calls[number] = future
         self._write(pack_frame(FrameKind.CALL, number, message))
         try:
             async with asyncio.timeout(timeout_s):
@@ -132,10 +133,10 @@
             self.close()
             raise PeerUnreachableError("no answer in time") from None
         finally:
-            self._calls.pop(number, None)
+            self._pending_calls.pop(number, None)
 
     def close(self):
-        """End the connection at once."""
+        """Close the connection at once, without sending buffered bytes."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -143,13 +144,13 @@
         if not self.is_open:
             return
         if self._transport.get_write_buffer_size() > MAX_BACKLOG_BYTES:
-            # A peer that stopped reading would let this process grow until
-            # it is killed for its memory.
+            # Buffering for a peer that has stopped reading would use more
+            # and more memory until this process is killed.
             self._transport.abort()
             return
         self._transport.write(raw)
 
-    def _take_frame(self, raw):
+    def _handle_frame(self, raw):
         try:
             frame = deserialize(Frame(), raw, _PROTOCOL)
             message = PEER_CODEC.decode(frame.body)
@@ -162,7 +163,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         else:
-            future = self._calls.get(frame.number)
+            future = self._pending_calls.get(frame.number)
             if future is not None and not future.done():
                 future.set_result(message)
         return True
@@ -173,10 +174,10 @@
 
 
 class PeerLink:
-    """A connection to one address that is opened again when it is lost."""
+    """Connection to one address that is reopened after it is lost."""
 
     def __init__(self, *, address, on_notice=None):
-        """Open nothing before the first message."""
+        """Store the address; the first message opens the connection."""
         self.address = address
         self._on_notice = on_notice or (lambda connection, message: None)
         self._connection = None
@@ -188,7 +189,9 @@
             self._connection.notify(message)
             return
         if self._opening is None:
-            self._opening = asyncio.ensure_future(self._open_for(message))
+            self._opening = asyncio.ensure_future(
+                self._open_and_notify(message)
+            )
 
     async def call(self, message, *, timeout_s):
         """Send a call and return its answer.
@@ -196,7 +199,7 @@
         Raises
         ------
         PeerUnreachableError
-            If no answer comes in time.
+            If no answer is received in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -212,7 +215,7 @@
         if self._connection is not None:
             self._connection.close()
 
-    async def _open_for(self, message):
+    async def _open_and_notify(self, message):
         try:
             connection = await self._open()
         except PeerUnreachableError:
@@ -236,7 +239,7 @@
     Raises
     ------
     PeerUnreachableError
-        If it does not accept in time.
+        If the instance does not accept the connection in time.
     """
     loop = asyncio.get_running_loop()
     host, port = split_address(address)
@@ -244,17 +247,21 @@
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await loop.create_connection(
                 lambda: PeerConnection(
-                    on_notice=on_notice, on_call=_no_calls, on_lost=on_lost
+                    on_notice=on_notice, on_call=_reject_call, on_lost=on_lost
                 ),
                 host,
                 port,
             )
     except TimeoutError:
-        raise PeerUnreachableError(f"{address} does not accept") from None
+        raise PeerUnreachableError(
+            f"{address} does not accept connections"
+        ) from None
     except OSError as exc:
         raise PeerUnreachableError(f"{address}: {exc}") from exc
     return connection
 
 
-async def _no_calls(connection, message):
-    raise PeerUnreachableError(f"no calls are taken here: {message!r}")
+async def _reject_call(connection, message):
+    raise PeerUnreachableError(
+        f"this connection accepts no calls: {message!r}"
+    )
--- a/currantdeal/node/settings.py
+++ b/currantdeal/node/settings.py
@@ -1,4 +1,6 @@
-"""Settings of an entry or control process: one JSON file, checked at start.
+"""Reads the settings of an entry or control process from a JSON file.
+
+The types of all values are checked when the process starts.
 
 See Also
 --------
@@ -15,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Listen:
-    """Addresses to listen at, each host and port; empty where unused."""
+    """Addresses to listen at, each as ``HOST:PORT``; empty if unused."""
 
     callers: str = ""
     readiness: str = ""
@@ -31,25 +33,26 @@
     Parameters
     ----------
     instance : str
-        Name, unique in the deployment.
+        Name of the instance, unique in the deployment.
     region_of : dict
         Region of each data centre.
     address : str
-        IP address that other instances reach this one at.
+        IP address at which other instances reach this one.
     peer_port : int
-        Port for the traffic between instances, the same on all.
+        Port for the traffic between instances, the same on all of them.
     control_addresses : tuple of str
-        Up to three control instances to begin with, host and port.
+        ``HOST:PORT`` of up to three control instances that are contacted
+        first.
     first_start : bool
         True only when the whole deployment starts for the first time.
     data_folder : str
-        Where a control instance keeps its durable state.
+        Directory of a control instance's durable state.
     heartbeat_ms : int
         Interval of the upstreams' heartbeats.
     tolerated_losses : int
-        Control instances that may be lost at once.
+        Number of control instances that may be lost at the same time.
     bounds : dict
-        Limits agreed with the operators, by their names.
+        Limits agreed with the operators, keyed by their names.
     """
 
     instance: str
@@ -68,12 +71,12 @@
 
     @property
     def peer_address(self):
-        """Host and port of this instance for other instances."""
+        """``HOST:PORT`` at which other instances reach this one."""
         return f"{self.address}:{self.peer_port}"
 
     @property
     def control_peers(self):
-        """Peer addresses of the control instances to begin with."""
+        """Peer addresses of the control instances that are contacted first."""
         hosts = (text.rpartition(":")[0] for text in self.control_addresses)
         return tuple(f"{host}:{self.peer_port}" for host in hosts)
 
@@ -87,8 +90,8 @@
     Raises
     ------
     SettingsFileError
-        If the file cannot be read or a value is wrong; the message names
-        the path of the value and what was expected there.
+        If the file cannot be read or a value is invalid; the message names
+        the path of the value and the expected type.
     """
     try:
         return _DECODER.decode(Path(path).read_bytes())
--- a/currantdeal/node/sockets.py
+++ b/currantdeal/node/sockets.py
@@ -1,18 +1,18 @@
-"""Options of TCP sockets that carry requests and messages."""
+"""Sets the options of TCP sockets that carry requests and messages."""
 
 import socket
 
 UNACKNOWLEDGED_MS = 1_500
-"""Time after which data without an acknowledgement ends a connection.
+"""Time after which unacknowledged data closes a connection.
 
-A partition or a forgotten connection gives no error by itself, and a writer
-would wait for minutes.  One and a half seconds is ten round trips between
-regions with three retransmissions.
+A network partition, or a connection whose state was lost on the path or at
+the peer, raises no error by itself, and a writer would wait for minutes.  1.5
+seconds allow for ten round trips between regions with three retransmissions.
 """
 
 
 def prepare_socket(transport):
-    """Send small writes at once, and give up a peer that is out of reach."""
+    """Send small writes at once, and time out on an unreachable peer."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/currantdeal/node/suspect_log.py
+++ b/currantdeal/node/suspect_log.py
@@ -1,4 +1,4 @@
-"""Log lines about requests that are suspected of crashing upstreams."""
+"""Logs which requests are suspected of crashing upstreams."""
 
 from enum import Enum
 
@@ -6,71 +6,72 @@
 from currantdeal.policy.crash_book import EARLY_WEIGHT
 
 
-class _Belief(str, Enum):
+class _Status(str, Enum):
     CLEAR = "suspect-cleared"
     SUSPECTED = "request-suspected"
     QUARANTINED = "request-quarantined"
 
 
 class SuspectLog:
-    """Logs a request when what a process believes of it has changed.
+    """Logs a request whenever its suspicion status has changed.
 
-    A single crash leaves no line: most upstreams end for reasons of their own.
+    A single crash is not logged, because most upstreams end for reasons
+    unrelated to the request.
 
     Parameters
     ----------
     log : structlog.stdlib.BoundLogger
-        Of the module that keeps the book.
+        Logger of the module that keeps the records.
     book : currantdeal.policy.crash_book.CrashBook
-        What is believed.
+        The records from which the status is derived.
     """
 
     def __init__(self, *, log, book):
-        """Believe nothing yet."""
+        """Start with every request clear."""
         self._log = log
         self._book = book
-        self._beliefs = {}
+        self._statuses = {}
 
     def __len__(self):
-        """Return the number of requests that are not believed clear."""
-        return len(self._beliefs)
+        """Return the number of requests whose status is not clear."""
+        return len(self._statuses)
 
     def note(self, changed):
-        """Log what is news in records that the book has taken in.
+        """Log the requests whose status the changed records have changed.
 
         Parameters
         ----------
         changed : iterable of currantdeal.policy.crash_book.SuspectRecord
-            As they are now.
+            Present state of the records that have changed.
         """
         for record in changed:
-            before = self._beliefs.pop(record.fingerprint, _Belief.CLEAR)
-            after = self._believed(record.fingerprint)
-            if after is not _Belief.CLEAR:
-                self._beliefs[record.fingerprint] = after
+            before = self._statuses.pop(record.fingerprint, _Status.CLEAR)
+            after = self._current_status(record.fingerprint)
+            if after is not _Status.CLEAR:
+                self._statuses[record.fingerprint] = after
             if after is not before:
                 self._write(after, record)
-        if len(self._beliefs) > 2 * len(self._book):
-            self._forget_dropped()
+        if len(self._statuses) > 2 * len(self._book):
+            self._remove_dropped()
 
-    def _forget_dropped(self):
-        """Forget requests that the book has dropped at its bounds."""
-        self._beliefs = {
-            fingerprint: belief
-            for fingerprint, belief in self._beliefs.items()
+    def _remove_dropped(self):
+        """Remove requests whose records were dropped at the size limits."""
+        self._statuses = {
+            fingerprint: status
+            for fingerprint, status in self._statuses.items()
             if self._book.is_suspect(fingerprint)
         }
 
-    def _believed(self, fingerprint):
+    def _current_status(self, fingerprint):
         if self._book.is_quarantined(fingerprint):
-            return _Belief.QUARANTINED
+            return _Status.QUARANTINED
         if self._book.score(fingerprint) > EARLY_WEIGHT:
-            return _Belief.SUSPECTED
-        return _Belief.CLEAR
+            return _Status.SUSPECTED
+        return _Status.CLEAR
 
-    def _write(self, belief, record):
+    def _write(self, status, record):
         self._log.info(
-            belief.value,
+            status.value,
             fingerprint=shown(record.fingerprint),
             upstreams=[crash.upstream for crash in record.crashes],
             score=self._book.score(record.fingerprint),
--- a/currantdeal/node/tests/test_bad_input.py
+++ b/currantdeal/node/tests/test_bad_input.py
@@ -14,7 +14,7 @@
 SMUGGLED = "GET /menu/2 HTTP/1.1\r\nHost: cakes.example\r\n\r\n"
 
 
-def _ask(raw):
+def _send_request(raw):
     async def run():
         standin = StandInUpstream()
         async with entry_world() as world:
@@ -51,13 +51,13 @@
         (HEAD, b"408"),
     ],
 )
-def test_what_two_parsers_may_read_differently_is_refused(raw, status):
-    """Someone sends bytes that end in different places for two parsers.
+def test_ambiguously_framed_request_is_rejected(raw, status):
+    """A caller sends a request that two parsers end in different places.
 
-    Whatever stands behind the first end would run as a request that no
-    caller made.
+    Guards against request smuggling: the bytes after the first end would run
+    as a request that no caller made.
     """
-    answer, seen = _ask(raw.encode())
+    answer, seen = _send_request(raw.encode())
     assert answer.split()[1] == status
     assert answer.count(b"HTTP/1.1") == 1
     assert seen == []
@@ -77,36 +77,36 @@
 )
 def test_path_with_dot_segments_is_rejected(target):
     """Guards against a path that an upstream resolves to another route."""
-    answer, seen = _ask(request_bytes(target, body=b""))
+    answer, seen = _send_request(request_bytes(target, body=b""))
     assert answer.split()[1] == b"400"
     assert seen == []
 
 
 @pytest.mark.parametrize("target", ["/order/a..b", "/order/1?next=/../x"])
-def test_dots_that_are_no_segments_are_forwarded(target):
-    answer, (request,) = _ask(request_bytes(target, body=b""))
+def test_path_with_other_dots_is_forwarded(target):
+    answer, (request,) = _send_request(request_bytes(target, body=b""))
     assert answer.startswith(b"HTTP/1.1 200")
     assert request.target == target
 
 
 @pytest.mark.parametrize("version", ["9.9", "2.0", "0.9"])
 def test_other_major_version_is_not_supported(version):
-    """Guards against an answer in a protocol that was not agreed on."""
+    """Guards against a response in a protocol version that is unsupported."""
     raw = request_bytes("/order/1").replace(
         b"HTTP/1.1", f"HTTP/{version}".encode()
     )
-    answer, seen = _ask(raw)
+    answer, seen = _send_request(raw)
     assert answer.split()[1] == b"505"
     assert seen == []
 
 
 @pytest.mark.parametrize("deadline", ["-1e9", "-1", "nan", "inf", "soon"])
-def test_deadline_that_is_no_time_is_rejected(deadline):
-    """Guards against a timeout reported for a request that is malformed."""
+def test_invalid_deadline_is_rejected(deadline):
+    """Guards against reporting a timeout for a malformed request."""
     raw = request_bytes("/order/1").replace(
         b"Deadline-Ms: 3000", f"Deadline-Ms: {deadline}".encode()
     )
-    answer, seen = _ask(raw)
+    answer, seen = _send_request(raw)
     assert answer.split()[1] == b"400"
     assert seen == []
 
@@ -122,27 +122,27 @@
     ],
 )
 def test_rejection_does_not_quote_raw_bytes(raw):
-    """Guards against an interpreter's repr in a text for callers."""
-    answer, _ = _ask(raw.encode())
+    """Guards against a Python repr in an error text for callers."""
+    answer, _ = _send_request(raw.encode())
     body = answer.partition(b"\r\n\r\n")[2]
     assert body.strip()
     assert b"b'" not in body
     assert b"bytearray" not in body
 
 
-def test_a_body_in_chunks_arrives_whole():
+def test_chunked_body_is_forwarded_whole():
     raw = HEAD + (
         "Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
         "5\r\ncake=\r\n1\r\n1\r\n0\r\n\r\n"
     )
-    answer, (request,) = _ask(raw.encode())
+    answer, (request,) = _send_request(raw.encode())
     assert answer.startswith(b"HTTP/1.1 200")
     assert request.body == b"cake=1"
     assert request.get("Content-Length") == "6"
     assert not request.get("Transfer-Encoding")
 
 
-def test_a_caller_that_waits_to_be_asked_for_its_body_is_asked():
+def test_expect_100_continue_is_answered():
     async def run():
         standin = StandInUpstream()
         async with entry_world() as world:
@@ -154,17 +154,17 @@
             )
             reader, writer = await world.send(raw.encode())
             async with asyncio.timeout(2.0):
-                told = await reader.readuntil(b"\r\n\r\n")
+                interim = await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"cake=1")
-                return told, await read_to_end(reader)
+                return interim, await read_to_end(reader)
 
-    told, answer = asyncio.run(run())
-    assert told.startswith(b"HTTP/1.1 100")
+    interim, answer = asyncio.run(run())
+    assert interim.startswith(b"HTTP/1.1 100")
     assert answer.startswith(b"HTTP/1.1 200")
 
 
-def test_a_half_request_reaches_nobody():
-    """A caller sends half of an order and goes away."""
+def test_incomplete_request_is_not_forwarded():
+    """A caller sends half of its request and then disconnects."""
 
     async def run():
         standin = StandInUpstream()
@@ -181,8 +181,10 @@
     assert asyncio.run(run()) == []
 
 
-def test_bytes_behind_a_request_are_the_next_request():
+def test_pipelined_requests_are_both_handled():
     first = request_bytes("/order/1", body=b"one", close=False)
-    answer, seen = _ask(first + request_bytes("/order/2", body=b"two"))
+    answer, seen = _send_request(
+        first + request_bytes("/order/2", body=b"two")
+    )
     assert [r.body for r in seen] == [b"one", b"two"]
     assert answer.count(b"HTTP/1.1 200") == 2
--- a/currantdeal/node/tests/test_connection_pool.py
+++ b/currantdeal/node/tests/test_connection_pool.py
@@ -12,15 +12,15 @@
 )
 
 
-async def _reset_on_second(standin, request, writer):
+async def _reset_second_request(standin, request, writer):
     if len(standin.seen) == 2:
         writer.transport.abort()
         return True
     return False
 
 
-async def _twice(*, harmless):
-    standin = StandInUpstream(script=_reset_on_second)
+async def _exchange_twice(*, harmless):
+    standin = StandInUpstream(script=_reset_second_request)
     await standin.start()
     pool = ConnectionPool()
     for _ in range(2):
@@ -30,26 +30,26 @@
     return head, standin
 
 
-def test_a_reservation_outlives_a_connection_that_was_given_up():
-    """An upstream drops a kept connection without a word.
+def test_retryable_request_is_sent_again_after_a_reset():
+    """An upstream closes an idle connection while a request is sent on it.
 
-    What is sent next on it is reset.  Unless the reservation is sent again,
-    the engine counts as out of reach for half a second and its caller is
-    sent elsewhere.
+    The request is reset.  Unless the reservation is sent again, the engine
+    counts as unreachable for half a second and the caller's request goes to
+    another engine.
     """
-    head, standin = asyncio.run(_twice(harmless=True))
+    head, standin = asyncio.run(_exchange_twice(harmless=True))
     assert head.status == 200
     assert len(standin.seen) == 3
 
 
-def test_what_may_run_once_is_not_sent_again():
-    """The same happens to a request that may have run before the reset."""
+def test_other_request_is_not_sent_again():
+    """The same reset hits a request that is not retryable and may have run."""
     with pytest.raises(BrokenAnswerError) as caught:
-        asyncio.run(_twice(harmless=False))
+        asyncio.run(_exchange_twice(harmless=False))
     assert caught.value.sent
 
 
-async def _ends_on_second(standin, request, writer):
+async def _stop_at_second_request(standin, request, writer):
     if len(standin.seen) == 2:
         standin.stop()
         writer.transport.abort()
@@ -57,11 +57,11 @@
     return False
 
 
-def test_request_under_which_an_upstream_ended_counts_as_sent():
-    """Guards against a crash that is taken for a refused connection."""
+def test_request_counts_as_sent_when_the_upstream_ends():
+    """Guards against treating a crash as a refused connection."""
 
     async def run():
-        standin = StandInUpstream(script=_ends_on_second)
+        standin = StandInUpstream(script=_stop_at_second_request)
         await standin.start()
         pool = ConnectionPool()
         for _ in range(2):
@@ -74,11 +74,11 @@
     assert caught.value.sent
 
 
-def _is_kept(kept, *, idle_s, harmless):
-    """Return whether a second exchange finds the connection of the first."""
+def _is_reused(extra_headers, *, idle_s, harmless):
+    """Return whether a second exchange reuses the connection of the first."""
 
     async def script(standin, request, writer):
-        standin.send(request, writer, 200, b"ok", *kept)
+        standin.send(request, writer, 200, b"ok", *extra_headers)
         await writer.drain()
         return True
 
@@ -96,15 +96,16 @@
     return asyncio.run(run())
 
 
-def test_an_idle_connection_serves_as_long_as_the_upstream_says():
-    """Eighty entries ask an engine every six seconds each.
+def test_idle_connection_is_reused_within_the_keep_alive_time():
+    """Guards against connection churn at an engine.
 
-    If each of them opened a connection every time, the engine would spend a
-    millisecond of its work on each, and its users would pay for it.
+    80 entries each call the engine every six seconds.  If each call opened a
+    new connection, the engine would spend a millisecond on each, at the
+    expense of its users' requests.
     """
-    named = ("Keep-Alive: timeout=10",)
-    assert _is_kept(named, idle_s=7.0, harmless=True)
-    assert not _is_kept(named, idle_s=9.0, harmless=True)
-    assert not _is_kept(named, idle_s=7.0, harmless=False)
-    assert _is_kept(named, idle_s=3.0, harmless=False)
-    assert not _is_kept((), idle_s=5.0, harmless=True)
+    keep_alive = ("Keep-Alive: timeout=10",)
+    assert _is_reused(keep_alive, idle_s=7.0, harmless=True)
+    assert not _is_reused(keep_alive, idle_s=9.0, harmless=True)
+    assert not _is_reused(keep_alive, idle_s=7.0, harmless=False)
+    assert _is_reused(keep_alive, idle_s=3.0, harmless=False)
+    assert not _is_reused((), idle_s=5.0, harmless=True)
--- a/currantdeal/node/tests/test_logs.py
+++ b/currantdeal/node/tests/test_logs.py
@@ -18,10 +18,10 @@
     return reading, LineWriter(descriptor=writing, clock=clock), clock
 
 
-def test_a_reader_that_stops_neither_blocks_nor_fills_memory():
-    """Whoever collects the lines stops reading while requests go on.
+def test_stopped_reader_neither_blocks_nor_exhausts_memory():
+    """The log collector stops reading while requests continue.
 
-    A process that waited for it would stop serving with it.
+    A process that waited for its reader would stop serving as well.
     """
     reading, writer, clock = _pipe()
     for number in range(20_000):
@@ -36,8 +36,8 @@
     assert len(writer._waiting) <= MAX_WAITING_LINES + 1
 
 
-def test_what_was_dropped_is_told():
-    """A failure at peak brings more lines than are written in a second."""
+def test_number_of_dropped_lines_is_logged():
+    """A failure at peak load logs more lines than the rate limit allows."""
     reading, writer, clock = _pipe()
     for _ in range(2_500):
         writer.write(b"\n")
@@ -46,11 +46,11 @@
     clock.now_s = 10.0
     writer.write(b"later\n")
     lines = os.read(reading, 1 << 20).split(b"\n")
-    told = [json.loads(line) for line in lines if line.startswith(b"{")]
-    assert told == [{"event": "log-lines-dropped", "count": dropped}]
+    reports = [json.loads(line) for line in lines if line.startswith(b"{")]
+    assert reports == [{"event": "log-lines-dropped", "count": dropped}]
 
 
-def test_a_line_that_was_cut_goes_on_where_it_stopped():
+def test_partially_written_line_is_continued():
     reading, writer, _ = _pipe()
     line = b"y" * 150_000 + b"\n"
     writer.write(line)
@@ -61,7 +61,7 @@
     assert got == line
 
 
-def test_a_reader_that_is_gone_does_not_end_the_process():
+def test_closed_reader_raises_no_error():
     reading, writer, _ = _pipe()
     os.close(reading)
     writer.write(b"nobody reads\n")
--- a/currantdeal/node/tests/test_peers.py
+++ b/currantdeal/node/tests/test_peers.py
@@ -24,7 +24,7 @@
     return server, PeerLink(address=f"{host}:{port}")
 
 
-def test_answers_find_their_calls_whatever_their_order():
+def test_answers_in_any_order_are_matched_to_calls():
     async def answer(connection, message):
         if isinstance(message, ReadConfigCall):
             await asyncio.sleep(0.1)
@@ -42,10 +42,10 @@
     assert (slow.accepted, fast.accepted) == (False, True)
 
 
-def test_a_connection_that_went_silent_is_replaced():
-    """Something between two instances has lost track of their connection.
+def test_unresponsive_connection_is_replaced():
+    """A network device drops the state of a connection without a reset.
 
-    Every later call on it would wait in vain.
+    Every later call on that connection would time out.
     """
     calls = []
 
@@ -64,7 +64,7 @@
     assert asyncio.run(run()).accepted
 
 
-def test_bytes_that_are_no_frame_end_the_connection():
+def test_invalid_frame_closes_the_connection():
     async def run():
         server, _ = await _server(None)
         host, port = server.sockets[0].getsockname()
@@ -79,7 +79,7 @@
     assert asyncio.run(run()) == b""
 
 
-def test_nobody_there_is_told_in_time():
+def test_refused_connection_raises_in_time():
     async def run():
         server, link = await _server(None)
         server.close()
--- a/currantdeal/node/tests/test_suspect_log.py
+++ b/currantdeal/node/tests/test_suspect_log.py
@@ -7,7 +7,7 @@
 
 
 def _events(steps):
-    """Return the events that are logged while a book changes."""
+    """Return the events logged while the steps change the records."""
     book = CrashBook()
     with capture_logs() as lines:
         log = SuspectLog(log=structlog.get_logger(), book=book)
@@ -25,7 +25,7 @@
     return book.add_completion(b"poison")
 
 
-def test_each_change_of_belief_leaves_one_line():
+def test_each_change_of_status_is_logged_once():
     steps = [*(_crash(number) for number in range(5)), _completed]
     assert _events(steps) == [
         "request-suspected",
@@ -34,8 +34,8 @@
     ]
 
 
-def test_what_the_book_dropped_is_forgotten(monkeypatch):
-    """Guards against memory that grows with the number of culprits."""
+def test_statuses_of_dropped_records_are_removed(monkeypatch):
+    """Guards against memory that grows with the number of suspects."""
     monkeypatch.setattr(crash_book, "MAX_QUARANTINED", 10)
     book = CrashBook()
     log = SuspectLog(log=structlog.get_logger(), book=book)
@@ -47,7 +47,7 @@
     assert len(log) <= 2 * len(book)
 
 
-def test_crash_that_changes_no_decision_leaves_no_line():
-    """Guards against lines at every entry for each stream of a crash."""
+def test_crash_without_a_change_of_status_is_not_logged():
+    """Guards against a line at each entry for each stream a crash ends."""
     steps = [_crash(1, early=False), _crash(2, early=False), _completed]
     assert _events(steps) == []
--- a/currantdeal/platform/__init__.py
+++ b/currantdeal/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The dialect of the machines that the deployments run on.
+"""Adapter for the interface of the platform that runs the deployments.
 
-Names, formats and calls stand here and nowhere else, decoded once into the
-product's own types.  Nothing here decides anything.
+The platform's names, formats and calls appear only in this package, which
+decodes them once into the program's own types and makes no decisions.
 """
--- a/currantdeal/platform/bounds.py
+++ b/currantdeal/platform/bounds.py
@@ -1,21 +1,21 @@
-"""Limits agreed with the operators, under the platform's names."""
+"""Decodes the limits agreed with the operators from the platform's names."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class AgreedBounds:
-    """The limits that the product keeps.
+    """Limits that this program observes.
 
     Parameters
     ----------
     grace_s : float
-        Time between the request to stop and the kill.
+        Time between the request to stop and the forced kill.
     retry_ratio, retry_allowance, retry_window_s : float
-        Repeats of requests at a service: a share of the requests, and a
-        number beyond that, in any window of that length.
+        Retry budget of a service: retries as a fraction of its requests, plus
+        a fixed number of retries, in any time window of this length.
     order_pause_s : float
-        Time between orders of two holders to one upstream.
+        Minimum time between orders of two different holders to one upstream.
     """
 
     grace_s: float
@@ -26,7 +26,7 @@
 
 
 def read_bounds(given):
-    """Decode the limits; those that are missing get cautious figures."""
+    """Decode the limits; missing ones get conservative defaults."""
     return AgreedBounds(
         grace_s=float(given.get("GraceS", 8.0)),
         retry_ratio=float(given.get("RetryBudgetRatio", 0.1)),
--- a/currantdeal/platform/config.py
+++ b/currantdeal/platform/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration in the platform's format."""
+"""Decodes the operators' configuration from the platform's format."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 )
 
 _MS = 1_000.0
-_KINDS = frozenset({"streaming", "idempotent", "non_idempotent"})
+_ROUTE_TYPES = frozenset({"streaming", "idempotent", "non_idempotent"})
 
 
 class _Backend(msgspec.Struct):
@@ -69,84 +69,84 @@
 
 
 def decode_config(body):
-    """Return the ``RoutingConfig`` that a body holds.
+    """Return the ``RoutingConfig`` decoded from a body.
 
     Raises
     ------
     DialectError
-        If the body cannot be read.
+        If the body is malformed.
     """
-    read = decode_json(body, _Config, "configuration")
+    parsed = decode_json(body, _Config, "configuration")
     return RoutingConfig(
-        version=read.Version,
-        routes=tuple(_route(route) for route in read.Routes),
-        services=tuple(_service(service) for service in read.Services),
-        limits=_limits(read.Limits),
+        version=parsed.Version,
+        routes=tuple(_route(route) for route in parsed.Routes),
+        services=tuple(_service(service) for service in parsed.Services),
+        limits=_limits(parsed.Limits),
     )
 
 
-def _route(read):
-    if read.RouteType not in _KINDS:
-        raise DialectError(f"route {read.Name}: kind {read.RouteType!r}")
+def _route(parsed):
+    if parsed.RouteType not in _ROUTE_TYPES:
+        raise DialectError(f"route {parsed.Name}: kind {parsed.RouteType!r}")
     return Route(
-        name=read.Name,
-        host=read.Hostname,
-        prefix=read.PathPrefix,
-        services=_shares(read),
-        repeat=_repeat(read),
-        streaming=read.RouteType == "streaming",
-        timeout_s=read.TimeoutMs / _MS,
-        target_s=read.TargetLatencyMs / _MS,
-        pause_target_s=read.ItlTargetMs / _MS,
-        max_upstreams=max(1, read.MaxAttempts),
-        rank=read.Priority,
+        name=parsed.Name,
+        host=parsed.Hostname,
+        prefix=parsed.PathPrefix,
+        services=_weighted_services(parsed),
+        repeat=_repeat(parsed),
+        streaming=parsed.RouteType == "streaming",
+        timeout_s=parsed.TimeoutMs / _MS,
+        target_s=parsed.TargetLatencyMs / _MS,
+        pause_target_s=parsed.ItlTargetMs / _MS,
+        max_upstreams=max(1, parsed.MaxAttempts),
+        rank=parsed.Priority,
     )
 
 
-def _shares(read):
-    if read.Backends is not None:
+def _weighted_services(parsed):
+    if parsed.Backends is not None:
         return tuple(
             WeightedService(service=b.Service, weight=b.Weight)
-            for b in read.Backends
+            for b in parsed.Backends
         )
-    if read.Service is None:
-        raise DialectError(f"route {read.Name}: it names no service")
-    return (WeightedService(service=read.Service, weight=1.0),)
+    if parsed.Service is None:
+        raise DialectError(f"route {parsed.Name}: it names no service")
+    return (WeightedService(service=parsed.Service, weight=1.0),)
 
 
-def _repeat(read):
-    if read.RouteType == "idempotent":
+def _repeat(parsed):
+    if parsed.RouteType == "idempotent":
         return Repeat.FREELY
-    if read.RouteType == "streaming" and read.Resumable:
+    if parsed.RouteType == "streaming" and parsed.Resumable:
         return Repeat.RESUMABLE
     return Repeat.ONCE
 
 
-def _service(read):
-    engine = read.Engine
+def _service(parsed):
+    engine = parsed.Engine
     return Service(
-        name=read.Name,
-        health_path=read.HealthPath,
-        max_connections=read.MaxConnections,
+        name=parsed.Name,
+        health_path=parsed.HealthPath,
+        max_connections=parsed.MaxConnections,
         engine=None if engine is None else _engine(engine),
     )
 
 
-def _engine(read):
+def _engine(parsed):
     return EngineTraits(
-        slots=read.Slots,
-        kv_tokens=read.KvCapacityTokens,
-        hold_s=read.HoldMs / _MS,
-        tokens_per_event=read.Stride,
-        switch_s=read.SwitchS,
-        handle_s=read.HandleTtlS,
+        slots=parsed.Slots,
+        kv_tokens=parsed.KvCapacityTokens,
+        hold_s=parsed.HoldMs / _MS,
+        tokens_per_event=parsed.Stride,
+        switch_s=parsed.SwitchS,
+        handle_s=parsed.HandleTtlS,
     )
 
 
-def _limits(read):
+def _limits(parsed):
     return CallerLimits(
-        max_head_bytes=read.MaxHeaderBytes,
-        max_body_bytes=read.MaxBodyBytes,
-        head_timeout_s=read.HeaderTimeoutMs / _MS,
-        idle_timeout_s=read.IdleTimeoutMs / _MS,
+        max_head_bytes=parsed.MaxHeaderBytes,
+        max_body_bytes=parsed.MaxBodyBytes,
+        head_timeout_s=parsed.HeaderTimeoutMs / _MS,
+        idle_timeout_s=parsed.IdleTimeoutMs / _MS,
     )
--- a/currantdeal/platform/control.py
+++ b/currantdeal/platform/control.py
@@ -1,4 +1,4 @@
-"""Calls to control in the platform's dialect.
+"""Decodes calls to control instances and encodes the responses.
 
 Implements ``currantdeal.node.dialect.ControlDialect``.
 """
@@ -23,10 +23,10 @@
 
 _INSTANCES = "/v1/instances/"
 _CONFIG = "/v1/config"
-_HIGHEST_PORT = 65_535
+_MAX_PORT = 65_535
 
 
-class _Beat(msgspec.Struct):
+class _Heartbeat(msgspec.Struct):
     Service: str
     Address: str
     Zone: str
@@ -40,18 +40,18 @@
 
 
 class PlatformControl:
-    """The dialect of the platform towards control."""
+    """Implementation of the platform's interface to control instances."""
 
     def read_operation(self, head):
-        """Decode method and path; None for what is not known."""
+        """Decode method and path; return None for an unknown operation."""
         path, _, query = head.target.partition("?")
-        fixed = {
+        operations = {
             ("PUT", _CONFIG): PutConfig(),
             ("GET", _CONFIG): GetConfig(),
             ("GET", "/v1/readyz"): AskReady(),
         }
-        if (head.method, path) in fixed:
-            return fixed[(head.method, path)]
+        if (head.method, path) in operations:
+            return operations[(head.method, path)]
         if path.startswith(_INSTANCES):
             upstream = unquote(path[len(_INSTANCES) :])
             if head.method == "PUT":
@@ -59,50 +59,52 @@
             if head.method == "DELETE":
                 return Leave(upstream=upstream)
         if (head.method, path) == ("GET", "/v1/resolve"):
-            return _find_entries(parse_qs(query))
+            return _parse_entry_lookup(parse_qs(query))
         return None
 
     def read_announcement(self, upstream, body):
-        """Decode a heartbeat."""
-        beat = decode_json(body, _Beat, "announcement")
-        if not upstream or not beat.Service:
+        """Decode an upstream's heartbeat."""
+        heartbeat = decode_json(body, _Heartbeat, "announcement")
+        if not upstream or not heartbeat.Service:
             raise DialectError("announcement: a name is empty")
-        if not _is_address(beat.Address):
-            raise DialectError(f"announcement: address {beat.Address!r}")
+        if not _is_address(heartbeat.Address):
+            raise DialectError(f"announcement: address {heartbeat.Address!r}")
         return UpstreamRecord(
             upstream=upstream,
-            service=beat.Service,
-            address=beat.Address,
-            data_center=beat.Zone,
-            slots=beat.Slots,
-            state=_state(beat.State),
-            started_ms=beat.born,
-            sequence=beat.Sequence,
-            stage=_stage(beat.Stage),
-            cold_s=(beat.ColdRemainingMs or 0.0) / 1_000.0,
-            software=beat.Version or "",
+            service=heartbeat.Service,
+            address=heartbeat.Address,
+            data_center=heartbeat.Zone,
+            slots=heartbeat.Slots,
+            state=_parse_state(heartbeat.State),
+            started_ms=heartbeat.born,
+            sequence=heartbeat.Sequence,
+            stage=_parse_stage(heartbeat.Stage),
+            cold_s=(heartbeat.ColdRemainingMs or 0.0) / 1_000.0,
+            software=heartbeat.Version or "",
         )
 
     def read_config(self, body):
-        """Decode a whole configuration."""
+        """Decode a complete configuration."""
         return decode_config(body)
 
     def directory_answer(self, addresses, keep_s):
-        """Encode where callers may connect."""
+        """Encode the addresses that callers may connect to."""
         found = {"Addresses": list(addresses), "TtlS": keep_s}
         return msgspec.json.encode(found)
 
     def error_answer(self, reason):
-        """Encode why a call was refused."""
+        """Encode the reason why a call was refused."""
         return msgspec.json.encode({"Error": reason})
 
 
-def _find_entries(query):
-    def first(name):
+def _parse_entry_lookup(query):
+    def first_value(name):
         return query.get(name, [""])[0]
 
     return FindEntries(
-        host=first("Name"), region=first("Region"), data_center=first("Zone")
+        host=first_value("Name"),
+        region=first_value("Region"),
+        data_center=first_value("Zone"),
     )
 
 
@@ -114,10 +116,10 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return 0 < int(port) <= _HIGHEST_PORT
+    return 0 < int(port) <= _MAX_PORT
 
 
-def _state(text):
+def _parse_state(text):
     states = {
         "ready": UpstreamState.READY,
         "draining": UpstreamState.DRAINING,
@@ -127,7 +129,7 @@
     return states[text]
 
 
-def _stage(text):
+def _parse_stage(text):
     stages = {None: None, "prefill": Stage.PREFILL, "decode": Stage.DECODE}
     if text not in stages:
         raise DialectError(f"announcement: stage {text!r}")
--- a/currantdeal/platform/decoding.py
+++ b/currantdeal/platform/decoding.py
@@ -1,4 +1,7 @@
-"""Decoding of the platform's JSON into types that can be passed on."""
+"""Decodes the platform's JSON and numbers into types with limited ranges.
+
+Their values fit into the messages between processes.
+"""
 
 from typing import Annotated
 
@@ -7,42 +10,46 @@
 from currantdeal.core.errors import DialectError
 
 Int64 = Annotated[int, msgspec.Meta(ge=-(2**63), le=2**63 - 1)]
-"""Whole number that messages between processes can hold."""
+"""Integer in the range that messages between processes can hold."""
+
 
+MAX_HEADER_INT = 2**31 - 1
+"""Upper limit for numbers read from a header.
 
-MAX_WHOLE = 2**31 - 1
-"""Largest number that is read from a header; sums over many of them fit in
-messages between processes."""
+Sums over many of them still fit into messages between processes.
+"""
 
-_MAX_DIGITS = len(str(MAX_WHOLE))
+_MAX_DIGITS = len(str(MAX_HEADER_INT))
 
 
-def read_whole(text):
-    """Return the whole number that a header holds; None if it is none.
+def parse_header_int(text):
+    """Return the non-negative integer in a header, or None if it is invalid.
 
-    One beyond ``MAX_WHOLE`` is read as that.
+    A larger number than ``MAX_HEADER_INT`` is read as ``MAX_HEADER_INT``.
 
     Examples
     --------
-    >>> read_whole("3000"), read_whole("-1"), read_whole("\u00b2")
-    (3000, None, None)
-    >>> read_whole("0" * 30 + "7"), read_whole("9" * 30) == MAX_WHOLE
-    (7, True)
+    >>> [parse_header_int(text) for text in ("3000", "-1", "\u00b2")]
+    [3000, None, None]
+    >>> parse_header_int("0" * 30 + "7")
+    7
+    >>> parse_header_int("9" * 30) == MAX_HEADER_INT
+    True
     """
     if not (text.isascii() and text.isdigit()):
         return None
     digits = text.lstrip("0")[: _MAX_DIGITS + 1]
-    return min(MAX_WHOLE, int(digits or "0"))
+    return min(MAX_HEADER_INT, int(digits or "0"))
 
 
 def decode_json(body, cls, what):
-    """Return the struct that a body holds.
+    """Return the struct decoded from a JSON body.
 
     Raises
     ------
     DialectError
-        If the body is cut short, nested too deep, or a field has another type
-        or does not fit.
+        If the body is truncated or nested too deeply, or if a field has the
+        wrong type or is out of range.
 
     Examples
     --------
@@ -56,4 +63,4 @@
     except msgspec.MsgspecError as exc:
         raise DialectError(f"{what}: {exc}") from exc
     except RecursionError:
-        raise DialectError(f"{what}: it is nested too deep") from None
+        raise DialectError(f"{what}: the body is nested too deeply") from None
--- a/currantdeal/platform/environment.py
+++ b/currantdeal/platform/environment.py
@@ -1,8 +1,8 @@
-"""What the platform puts into a process's environment."""
+"""Reads the environment variables that the platform sets for a process."""
 
 SETTINGS_VARIABLE = "CURRANTDEAL_SETTINGS"
 
 
 def settings_path(environment):
-    """Return the path of the settings file."""
+    """Return the path of the settings file; empty if it is not set."""
     return environment.get(SETTINGS_VARIABLE, "")
--- a/currantdeal/platform/headers.py
+++ b/currantdeal/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header names of the platform."""
+"""Header names of the platform, in lower case."""
 
 REQUEST_ID = b"x-currantdeal-request-id"
 INSTANCE = b"x-currantdeal-instance-id"
@@ -37,9 +37,9 @@
         LAST_EVENT_ID,
     }
 )
-"""Headers that only the system sets towards an upstream.
+"""Headers of requests to upstreams that only the system sets.
 
-A caller's own value would steer another's KV cache or reserve memory in the
-system's name; it is dropped.  The deadline and the last event id are sent
-anew with the system's own figures.
+A caller's own value is dropped, because it could affect another caller's KV
+cache or reserve memory in the system's name.  The deadline and the last event
+id are set again to the system's own values.
 """
--- a/currantdeal/platform/tests/test_control.py
+++ b/currantdeal/platform/tests/test_control.py
@@ -16,7 +16,7 @@
 from currantdeal.routing import Repeat
 from currantdeal.testing.entry_world import config_body
 
-BEAT = {
+HEARTBEAT = {
     "Service": "huvo11a",
     "Address": "10.128.0.9:8080",
     "Zone": "lagos-ikeja",
@@ -33,10 +33,12 @@
 DIALECT = PlatformControl()
 
 
-def _beat(**changes):
-    changed = {**BEAT, **changes}
-    kept = {key: value for key, value in changed.items() if value != "gone"}
-    return json.dumps(kept).encode()
+def _heartbeat(**changes):
+    changed = {**HEARTBEAT, **changes}
+    remaining = {
+        key: value for key, value in changed.items() if value != "gone"
+    }
+    return json.dumps(remaining).encode()
 
 
 def _operation(method, target):
@@ -45,19 +47,19 @@
     )
 
 
-def test_calls_are_known_by_method_and_path():
+def test_operations_are_decoded_from_method_and_path():
     assert _operation("PUT", "/v1/config") == PutConfig()
     assert _operation("GET", "/v1/config") == GetConfig()
-    beat = _operation("PUT", "/v1/instances/i-7f%2F1")
-    assert beat == Announce(upstream="i-7f/1")
+    announce = _operation("PUT", "/v1/instances/i-7f%2F1")
+    assert announce == Announce(upstream="i-7f/1")
     assert _operation("DELETE", "/v1/instances/i-1") == Leave(upstream="i-1")
     found = _operation("GET", "/v1/resolve?Name=a.example&Region=r&Zone=z")
     assert found == FindEntries(host="a.example", region="r", data_center="z")
     assert _operation("POST", "/v1/config") is None
 
 
-def test_a_heartbeat_becomes_a_record():
-    record = DIALECT.read_announcement("i-1", _beat())
+def test_heartbeat_is_decoded_into_a_record():
+    record = DIALECT.read_announcement("i-1", _heartbeat())
     assert record.upstream == "i-1"
     assert record.service == "huvo11a"
     assert record.data_center == "lagos-ikeja"
@@ -79,9 +81,9 @@
     ],
 )
 def test_heartbeat_that_cannot_be_passed_on_or_reached_is_refused(changes):
-    """Guards against a record that ends each process that takes it up."""
+    """Guards against a record that crashes each process that receives it."""
     with pytest.raises(DialectError):
-        DIALECT.read_announcement("i-1", _beat(**changes))
+        DIALECT.read_announcement("i-1", _heartbeat(**changes))
 
 
 @pytest.mark.parametrize(
@@ -90,28 +92,29 @@
         b"\xff\xfe",
         b"[]",
         b"{}",
-        _beat(born="gone"),
-        _beat(born=1.5),
-        _beat(born="yesterday"),
-        _beat(Sequence="4"),
-        _beat(State="sleeping"),
-        _beat(Stage="both"),
-        _beat(Address="nowhere"),
-        _beat(Address=["10.0.0.1:80"]),
-        _beat(Service=""),
-        _beat(Slots=None),
+        _heartbeat(born="gone"),
+        _heartbeat(born=1.5),
+        _heartbeat(born="yesterday"),
+        _heartbeat(Sequence="4"),
+        _heartbeat(State="sleeping"),
+        _heartbeat(Stage="both"),
+        _heartbeat(Address="nowhere"),
+        _heartbeat(Address=["10.0.0.1:80"]),
+        _heartbeat(Service=""),
+        _heartbeat(Slots=None),
     ],
 )
-def test_what_another_writer_sent_names_no_upstream(body):
-    """Something else writes heartbeats in a format of its own.
+def test_malformed_heartbeat_is_rejected(body):
+    """Another program sends heartbeats in a format of its own.
 
-    Taken for an upstream, it would be sent requests that nobody answers.
+    If it were registered as an upstream, it would be sent requests that it
+    does not serve.
     """
     with pytest.raises(DialectError):
         DIALECT.read_announcement("i-1", body)
 
 
-def test_a_configuration_is_decoded_into_own_types():
+def test_configuration_is_decoded_into_own_types():
     config = DIALECT.read_config(config_body(version=7, timeout_ms=1500))
     assert config.version == 7
     repeats = {route.name: route.repeat for route in config.routes}
@@ -138,6 +141,6 @@
         b"",
     ],
 )
-def test_a_configuration_that_is_cut_short_is_no_configuration(body):
+def test_malformed_configuration_is_rejected(body):
     with pytest.raises(DialectError):
         DIALECT.read_config(body)
--- a/currantdeal/platform/tests/test_settings_template.py
+++ b/currantdeal/platform/tests/test_settings_template.py
@@ -15,7 +15,7 @@
     .parents[1]
     .joinpath("deploy", "settings.json.template")
 )
-GIVEN = {
+PLATFORM_VALUES = {
     "NodeName": "frontend-bizkaia-a-1",
     "Ip": "10.1.0.38",
     "Zone": "bizkaia-a",
@@ -43,15 +43,15 @@
 
 
 def _value(path, given):
-    found = given
+    current = given
     for part in path.split("."):
-        if isinstance(found, list):
-            found = found[int(part)]
+        if isinstance(current, list):
+            current = current[int(part)]
         else:
-            found = found.get(part)
-        if found is None:
+            current = current.get(part)
+        if current is None:
             return None
-    return found
+    return current
 
 
 def _render(text, given):
@@ -72,8 +72,8 @@
     return msgspec.json.decode(text, type=NodeSettings)
 
 
-def test_the_template_gives_the_settings_of_an_entry():
-    settings = _settings(GIVEN)
+def test_template_renders_the_settings_of_an_entry():
+    settings = _settings(PLATFORM_VALUES)
     assert settings.instance == "frontend-bizkaia-a-1"
     assert settings.peer_address == "10.1.0.38:7380"
     assert settings.listen.callers == "10.1.0.38:8149"
@@ -85,11 +85,11 @@
     assert bounds.order_pause_s == 3.0
 
 
-def test_missing_fields_do_not_keep_a_process_from_starting():
-    """A later platform leaves out what this version does not need."""
+def test_settings_with_missing_fields_are_accepted():
+    """A later platform version omits what this version does not need."""
     given = {
         key: value
-        for key, value in GIVEN.items()
+        for key, value in PLATFORM_VALUES.items()
         if key not in ("Bootstrap", "FaultTolerance", "Bounds")
     }
     given["Bounds"] = {}
@@ -98,8 +98,10 @@
     assert read_bounds(settings.bounds).grace_s == 8.0
 
 
-def test_a_wrong_value_is_named_with_its_place(tmp_path):
+def test_error_names_the_invalid_setting(tmp_path):
     path = tmp_path / "settings.json"
-    path.write_text(_render(TEMPLATE.read_text(), {**GIVEN, "Ip": 7}))
+    path.write_text(
+        _render(TEMPLATE.read_text(), {**PLATFORM_VALUES, "Ip": 7})
+    )
     with pytest.raises(SettingsFileError, match=r"address"):
         read_settings(path)
--- a/currantdeal/ports/__init__.py
+++ b/currantdeal/ports/__init__.py
@@ -1,4 +1,4 @@
-"""What the inner packages need from outside, as protocols."""
+"""Protocols for the outer services that the inner packages need."""
 
 from currantdeal.ports.clock import (
     Clock,
--- a/currantdeal/ports/clock.py
+++ b/currantdeal/ports/clock.py
@@ -1,4 +1,4 @@
-"""Time and chance, so that tests decide both."""
+"""Protocol for time, so that tests can control it."""
 
 from typing import Protocol
 
@@ -6,15 +6,15 @@
 class Clock(Protocol):
     """Source of time.
 
-    Durations and deadlines use ``monotonic_s``; ``wall_s`` only dates audit
-    records and claims.
+    Durations and deadlines use ``monotonic_s``; ``wall_s`` is used only for
+    timestamps of audit records and claims.
     """
 
     def monotonic_s(self) -> float:
-        """Return seconds since an arbitrary start; never goes back."""
+        """Return seconds since an arbitrary start; never decreases."""
 
     def wall_s(self) -> float:
-        """Return seconds since the epoch."""
+        """Return seconds since the Unix epoch."""
 
     def sleep(self, seconds: float) -> None:
-        """Return after the given time."""
+        """Block for the given time."""
--- a/currantdeal/ports/engines.py
+++ b/currantdeal/ports/engines.py
@@ -1,7 +1,7 @@
-"""What the system asks of model engines.
+"""Protocol for the operations on model engines.
 
-Every method raises an ``UpstreamError`` whose ``ran`` tells whether the work
-ran.  Another engine dialect is another implementation of the port.
+Every method raises an ``UpstreamError`` whose ``ran`` states whether the work
+ran.  Each engine dialect is a separate implementation of this port.
 """
 
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PrefillRequest:
-    """Compute the KV cache of a prompt."""
+    """Request to compute the KV cache of a prompt."""
 
     request_id: RequestId
     model: str
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PrefillResult:
-    """A KV cache that waits on its engine to be taken up.
+    """A KV cache held on the engine that computed it until it is imported.
 
     Parameters
     ----------
     kv_id : str
-        Name of the result on the engine.
+        Id of the result on the engine.
     prompt_tokens : int
         Measured length of the prompt.
     cached_tokens : int
         Leading tokens found in the engine's prefix cache.
     expires_in_s : float
-        Seconds from the answer until the engine drops the result.
+        Seconds from the response until the engine drops the result.
     """
 
     kv_id: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ImportRequest:
-    """Let a decode engine fetch a KV cache from a prefill engine."""
+    """Request that a decode engine fetch a KV cache from a prefill engine."""
 
     request_id: RequestId
     kv_id: str
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DecodeRequest:
-    """Generate output from an imported KV cache.
+    """Request to generate output from an imported KV cache.
 
     Parameters
     ----------
     offset : int
-        Number of output tokens already received; the stream goes on there.
+        Number of output tokens already received; the stream continues there.
     max_tokens : int
-        Most output tokens, counted from the beginning.
+        Maximum number of output tokens, counted from the beginning.
     """
 
     request_id: RequestId
@@ -86,7 +86,7 @@
         Position of the token in the output, from 0; for the end, the number
         of tokens in the whole output.
     finish_reason : str
-        Empty but on the last chunk, which carries no text.
+        Empty except on the last chunk, which carries no text.
     """
 
     offset: int
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeldMemory:
-    """Engine memory that is held for a request."""
+    """Memory that an engine holds for a request."""
 
     request_id: RequestId
     pieces: int
@@ -105,12 +105,12 @@
 
 
 class EnginePort(Protocol):
-    """Client of model engines."""
+    """Client for model engines."""
 
     def prefill(
         self, upstream: Upstream, request: PrefillRequest, *, timeout_s: float
     ) -> PrefillResult:
-        """Compute and keep the KV cache of a prompt."""
+        """Compute the KV cache of a prompt and hold it on the engine."""
 
     def import_kv(
         self, upstream: Upstream, request: ImportRequest, *, timeout_s: float
@@ -120,20 +120,21 @@
     def decode(
         self, upstream: Upstream, request: DecodeRequest, *, silence_s: float
     ) -> Iterator[OutputChunk]:
-        """Yield output tokens in order, then the end.
+        """Yield the output tokens in order, then the end of the output.
 
-        A silence longer than ``silence_s`` raises ``UpstreamSilentError``;
-        the stream can then be resumed on a new connection by its offset.
-        Closing the iterator closes the connection but cancels nothing.
+        Receiving nothing for longer than ``silence_s`` raises
+        ``UpstreamSilentError``; the stream can then be resumed on a new
+        connection by its offset.  Closing the iterator closes the connection
+        but does not cancel the generation.
         """
 
     def cancel(self, upstream: Upstream, request_id: RequestId) -> None:
-        """Free all memory held for a request; unknown requests are fine."""
+        """Free all memory held for a request; no error if it is unknown."""
 
     def held(self, upstream: Upstream) -> tuple[HeldMemory, ...]:
-        """Return what the engine holds, for prefill results too."""
+        """Return all memory the engine holds, also for prefill results."""
 
     def order(
         self, upstream: Upstream, order: EngineOrder, fence: FencingNumber
     ) -> None:
-        """Order the engine to load, unload or change its roles."""
+        """Order the engine to load or unload a model, or to change roles."""
--- a/currantdeal/ports/homes.py
+++ b/currantdeal/ports/homes.py
@@ -1,4 +1,7 @@
-"""Reservations of engine memory and link shares at an upstream's home."""
+"""Protocol for reservations of engine memory and link shares.
+
+An upstream's home is the instance that grants the reservations for it.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReservationRequest:
-    """Ask an engine's home for memory and a share of its link.
+    """Request to an engine's home for memory and a share of its link.
 
     Parameters
     ----------
@@ -24,15 +27,15 @@
         The instance that serves the request.
     pieces : int
         Pieces of memory for prompt and expected output; 0 on an engine that
-        only prefills.
+        only runs prefill.
     prefill_tokens : int
-        Prompt tokens to compute there; 0 on an engine that only decodes.
+        Prompt tokens to compute on the engine; 0 if it only decodes.
     kv_bytes : int
-        Bytes that its link will carry.
+        Number of bytes to transfer over its link.
     hold_s : float
-        Seconds for which the memory is expected to be held.
+        Expected time for which the memory is held, in seconds.
     lead_s : float
-        Seconds until the memory is needed, were the grant given now.
+        Seconds from the grant until the memory is needed.
     """
 
     request_id: RequestId
@@ -48,15 +51,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Grant:
-    """A reservation that the home keeps while the entry renews it.
+    """A reservation that the home keeps for as long as the entry renews it.
 
     Parameters
     ----------
     fence : FencingNumber
-        The home's, sent along to the engine.
+        The home's fencing number, which is sent to the engine.
     start_in_s : float
-        Seconds until the reserved work may start; the prefill is timed so
-        that its result is taken up before it expires.
+        Seconds until the reserved work may start; the prefill is scheduled
+        so that its result is imported before it expires.
     """
 
     grant_id: GrantId
@@ -68,7 +71,7 @@
 
 
 class HomesPort(Protocol):
-    """Reservations, wherever the upstream's home is."""
+    """Makes and releases reservations, whichever instance is the home."""
 
     def reserve(
         self, request: ReservationRequest, *, timeout_s: float
@@ -76,20 +79,23 @@
         """Return a grant, or raise ``ReservationError``."""
 
     def release(self, grant: Grant) -> None:
-        """Give a grant back; never raises, a lost release is reclaimed."""
+        """Release a grant.
+
+        Never raises; the home reclaims a grant whose release is lost.
+        """
 
     def grow(self, grant: Grant, *, pieces: int) -> bool:
-        """Return whether the grant was enlarged by some pieces."""
+        """Enlarge a grant by some pieces and return whether it succeeded."""
 
     def refresh(self, grant: Grant) -> Grant | None:
-        """Return the grant under its present home, or None if it is lost.
+        """Return the grant under its current home, or None if it is lost.
 
-        Asked before a stream is resumed: a home that took over has another
-        fencing number, and the engine may refuse the former one.
+        Called before a stream is resumed: a new home has another fencing
+        number, and the engine may reject the former one.
         """
 
     def load(self, upstream_id: UpstreamId) -> LoadReport | None:
-        """Return the last known load; lagged, and None when unknown."""
+        """Return the last known load, which lags; None if it is unknown."""
 
     def report_load(self, report: LoadReport) -> None:
-        """Take in a renewal with its load and pass it to the home."""
+        """Record a renewal with its load and forward it to the home."""
--- a/currantdeal/ports/members.py
+++ b/currantdeal/ports/members.py
@@ -1,4 +1,4 @@
-"""Which instances take part, as one instance believes."""
+"""Protocol for the membership of instances, as seen by one instance."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class MemberStatus(str, Enum):
-    """What is believed of an instance."""
+    """Status of an instance, as another instance sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Member:
-    """One instance.
+    """An instance and its status.
 
     Parameters
     ----------
     incarnation : int
-        Grows with each start, and when the instance refutes a suspicion.
+        Increases with each start, and when the instance refutes a suspicion.
     caller_address, peer_address : str
         ``IP:PORT`` for callers and for other instances.
     draining : bool
-        True when it should be told to no more callers.
+        True if no more callers are to be directed to it.
     load : float
-        Its share of capacity in use, from 0 up.
+        Fraction of its capacity in use, 0 or more.
     """
 
     instance: InstanceId
@@ -44,20 +44,20 @@
 
 
 class MembersPort(Protocol):
-    """Membership as one instance believes it."""
+    """Membership of all instances, as one instance sees it."""
 
     def members(self) -> tuple[Member, ...]:
         """Return all known instances, this one included, sorted by name."""
 
     def set_ready(self) -> None:
-        """Tell the others that callers may be sent to this instance.
+        """Announce that callers may be directed to this instance.
 
         Until then it counts as draining: it has no lease yet and would
-        refuse whoever is sent to it.
+        reject every request.
         """
 
     def set_draining(self) -> None:
-        """Tell the others that this instance takes no more callers."""
+        """Announce that this instance accepts no more callers."""
 
     def set_load(self, load: float) -> None:
-        """Tell the others this instance's load."""
+        """Announce the load of this instance."""
--- a/currantdeal/ports/metrics.py
+++ b/currantdeal/ports/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms, for every package that keeps some."""
+"""Protocol for counters, gauges and histograms."""
 
 from typing import Protocol
 
@@ -6,7 +6,8 @@
 class MetricsPort(Protocol):
     """Metrics of one instance; names carry their unit as a suffix.
 
-    Labels are given as keyword arguments, the same names at each call.
+    Labels are passed as keyword arguments.  Each call for a metric must pass
+    the same label names.
     """
 
     def add(self, name: str, amount: float = 1.0, **labels: str) -> None:
@@ -16,4 +17,4 @@
         """Set a gauge."""
 
     def observe(self, name: str, value: float, **labels: str) -> None:
-        """Put a value into a histogram."""
+        """Record a value in a histogram."""
--- a/currantdeal/ports/services.py
+++ b/currantdeal/ports/services.py
@@ -1,4 +1,4 @@
-"""What the system asks of plain services."""
+"""Protocol for calls to plain services."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -21,7 +21,8 @@
     Parameters
     ----------
     path : str
-        Path below the service's root, with its query, starting with ``/``.
+        Path relative to the service's root, starting with ``/``, with its
+        query.
     """
 
     method: str
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceAnswer:
-    """The service's whole answer."""
+    """The complete response of a service."""
 
     status: int
     headers: tuple[Header, ...] = ()
@@ -40,9 +41,15 @@
 
 
 class ServicePort(Protocol):
-    """Client of plain services."""
+    """Client for plain services."""
 
     def call(
         self, upstream: Upstream, call: ServiceCall, *, timeout_s: float
     ) -> ServiceAnswer:
-        """Send the call once; ``UpstreamError`` tells whether it ran."""
+        """Send the call once and return the response.
+
+        Raises
+        ------
+        UpstreamError
+            If it failed; its ``ran`` states whether the call ran.
+        """
--- a/currantdeal/ports/state.py
+++ b/currantdeal/ports/state.py
@@ -1,4 +1,4 @@
-"""How the rest of the system reads and changes the replicated state."""
+"""Protocol for reading and changing the replicated state."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InstanceProgress:
-    """What an instance has in force, as the leader knows it.
+    """The state version that an instance has applied, as the leader sees it.
 
     Parameters
     ----------
     version : int
-        Version of the state the instance last said it had applied.
+        Version of the state that the instance last reported as applied.
     lease_remaining_s : float
-        Upper bound of what is left of its lease; 0 when it has run out.
+        Upper bound of the remaining time of its lease; 0 once it expired.
     """
 
     instance: InstanceId
@@ -26,32 +26,40 @@
 
 
 class StatePort(Protocol):
-    """The replicated state, as one instance sees it."""
+    """Access to the replicated state at one instance."""
 
     def view(self) -> ClusterState:
-        """Return the latest state known here; its version never goes back."""
+        """Return the latest local state; its version never decreases."""
 
     def lease_remaining_s(self) -> float:
-        """Return how long the view may still guide new work; 0 if not.
+        """Return the remaining time for which the view is valid for new work.
 
-        Instances that hand out work check this before every decision.
+        It is 0 if the view is not valid.  Instances that assign work check
+        this before every decision.
         """
 
     def propose(self, command: Command, *, timeout_s: float) -> Result:
-        """Return the result once a quorum has the command on synced disk.
+        """Return the result once a quorum has synced the command to disk.
 
         The local view includes the command's effect before this returns.
-        ``StateUnavailableError`` tells whether it may still be committed.
+
+        Raises
+        ------
+        StateUnavailableError
+            If that did not happen in time; its ``proposed`` states whether
+            the command may still be committed.
         """
 
     def wait_in_force(self, version: int, *, timeout_s: float) -> float:
-        """Return the seconds until the version is in force everywhere.
+        """Wait until a version is in force everywhere.
+
+        Returns the time waited, in seconds.
 
-        It is in force when every instance has applied it or has no lease.
+        It is in force once every instance has applied it or has no lease.
         """
 
     def progress(self) -> tuple[InstanceProgress, ...]:
-        """Return the progress of every instance the leader knows."""
+        """Return the progress of every instance known to the leader."""
 
     def leader(self) -> InstanceId | None:
-        """Return the instance that leads, if known here."""
+        """Return the leader, or None if it is unknown here."""
