--- a/currantdeal/adapters/disk/__init__.py
+++ b/currantdeal/adapters/disk/__init__.py
@@ -1,4 +1,4 @@
-"""The one data folder of a replica."""
+"""Durable storage of a replica: its data folder, and small state files."""
 
 from currantdeal.adapters.disk.errors import (
     DiskCorruptError,
--- a/currantdeal/adapters/disk/backup.py
+++ b/currantdeal/adapters/disk/backup.py
@@ -1,7 +1,8 @@
-"""The state of a replica as one file, and a new replica set from it.
+"""Saves a replica's state to a file, and restores a new replica set from it.
 
-This is for the day on which a majority of the replicas is lost for good.
-What the surviving folder holds becomes the first state of a new set.
+This is for disaster recovery after the permanent loss of a majority of the
+replicas.  The state in a surviving folder becomes the first state of a new
+set.
 """
 
 import os
@@ -13,9 +14,9 @@
 from currantdeal.adapters.disk.records import MAGIC, encode_record, scan
 from currantdeal.adapters.disk.replay import read_folder
 from currantdeal.adapters.replication.entries import (
+    apply_update,
     state_of,
-    step_of,
-    take_step,
+    update_from_entry,
 )
 from currantdeal.consensus import (
     Configuration,
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Backup:
-    """What a backup holds.
+    """Version and length of a backup.
 
     Parameters
     ----------
@@ -43,24 +44,25 @@
 
 
 def write_backup(folder, path):
-    """Write the state that a stopped replica's folder holds to a file.
+    """Write the state in a stopped replica's folder to a new file.
 
-    Every entry of its log is included, also those of which it had not
-    learned that a quorum has them: leaving one out could lose an accepted
-    change, and their proposers were told of none that it is not kept.
+    Every entry of its log is included, also those that it did not yet record
+    as committed.  Omitting such an entry could lose an accepted change, and
+    including it contradicts no answer: no proposer was notified that its entry
+    was discarded.
 
     Raises
     ------
     DiskError
-        If the folder holds no state or is damaged.
+        If the folder has no state or is damaged.
     """
     content = read_folder(folder)
     if content is None or content.stored.snapshot is None:
-        raise DiskError(f"{folder} holds no state")
+        raise DiskError(f"{folder} contains no state of a replica")
     stored = content.stored
     state = state_of(stored.snapshot.data)
     for entry in stored.entries:
-        state, _ = take_step(state, step_of(entry))
+        state, _ = apply_update(state, update_from_entry(entry))
     snapshot = Snapshot(
         index=state.version,
         term=stored.term,
@@ -76,7 +78,7 @@
 
 
 def read_backup(path):
-    """Return the snapshot that a backup holds.
+    """Return the snapshot in a backup.
 
     Raises
     ------
@@ -85,15 +87,14 @@
     """
     found = scan(Path(path).read_bytes(), name=str(path))
     if len(found.records) != 1 or found.torn_bytes:
-        raise DiskCorruptError(f"{path} is cut short")
+        raise DiskCorruptError(f"{path} is incomplete")
     return found.records[0].message.snapshot
 
 
 def restore_backup(path, folder, replicas):
-    """Make a new folder that begins a new replica set from a backup.
+    """Create a folder that starts a new replica set from a backup.
 
-    The same is to be done for every replica of the new set before any of
-    them is started.
+    Do this for every replica of the new set before any of them is started.
 
     Raises
     ------
--- a/currantdeal/adapters/disk/errors.py
+++ b/currantdeal/adapters/disk/errors.py
@@ -4,25 +4,25 @@
 
 
 class DiskError(AdapterError):
-    """Base of the data folder's errors."""
+    """Base class of the data folder's errors."""
 
 
 class DiskCorruptError(DiskError):
-    """The folder's files contradict their checksums or each other.
+    """The folder's files fail their checksums or are inconsistent.
 
-    Nothing is repaired by guess: what was acknowledged may be among the
-    damaged records.  The replica is to be replaced by an empty one, which
-    learns from the others.
+    No repair is attempted, because the damaged records may contain
+    acknowledged entries.  Replace the replica by an empty one, which catches
+    up from the others.
     """
 
 
 class DiskFullError(DiskError):
-    """There is no room; nothing was written, and a retry may succeed."""
+    """The disk is full; nothing was written, and a retry may succeed."""
 
 
 class DiskFailedError(DiskError):
-    """A write or sync failed; what is on disk is not known any more."""
+    """A write or sync failed; the content of the disk is now unknown."""
 
 
 class FolderLockedError(DiskError):
-    """Another process uses the folder."""
+    """Another process holds the folder's lock."""
--- a/currantdeal/adapters/disk/folder.py
+++ b/currantdeal/adapters/disk/folder.py
@@ -1,10 +1,10 @@
-"""The data folder: one snapshot, one segment of the log, one lock.
+"""Stores a replica's durable state in a folder: snapshot, log and lock.
 
-A generation is a snapshot and the segment of writes after it.  A new
+A generation is a snapshot and the log segment of the writes after it.  A new
 snapshot starts the next generation: its files are written under temporary
-names, synced, renamed, and the folder is synced, before the generation
-before it is deleted.  At any moment the highest generation with a segment is
-whole.
+names, synced and renamed, and the folder is synced, before the previous
+generation is deleted.  So the highest generation that has a segment is
+complete at any time, also after a crash.
 """
 
 import contextlib
@@ -46,27 +46,27 @@
     Parameters
     ----------
     path : str or Path
-        The folder; made if it is not there.
+        The folder; created if it does not exist.
     sync : callable
         Takes a file descriptor and returns when its content is durable.
 
     Raises
     ------
     FolderLockedError
-        If another process uses the folder.
+        If another process holds the folder's lock.
     DiskCorruptError
         If the folder's files are damaged.
     """
 
     def __init__(self, *, path, sync=os.fsync):
-        """Lock the folder, read it and cut a torn tail."""
+        """Lock and read the folder, and truncate a torn tail."""
         self._path = Path(path)
         self._sync = sync
         self._failed = False
         self._file = None
         with _disk_errors():
             self._path.mkdir(parents=True, exist_ok=True)
-            self._lock = self._take_lock()
+            self._lock = self._acquire_lock()
         content = read_folder(self._path)
         if content is None:
             content = FolderContent(
@@ -83,7 +83,7 @@
 
     @property
     def stored(self):
-        """What a replica starts from, as of the last successful write."""
+        """The state a replica starts from, as of the last successful write."""
         return Stored(
             term=self._stored.term,
             voted_for=self._stored.voted_for,
@@ -97,29 +97,29 @@
         return self._length
 
     def save(self, writes):
-        """Return when all the writes are on synced disk.
+        """Write and sync; on return all the writes are durable.
 
         Raises
         ------
         DiskFullError
-            If there was no room; nothing is written, a retry may succeed.
+            If the disk is full; nothing is written, and a retry may succeed.
         DiskFailedError
-            If the disk failed; the folder takes no more writes.
+            If a write or sync failed; the folder accepts no more writes.
         """
         if self._failed:
             raise DiskFailedError("an earlier write or sync failed")
-        plain = []
+        batch = []
         for write in writes:
             if isinstance(write, SaveSnapshot):
-                self._append(plain)
-                plain = []
+                self._append(batch)
+                batch = []
                 self._save_snapshot(write)
             else:
-                plain.append(write)
-        self._append(plain)
+                batch.append(write)
+        self._append(batch)
 
     def close(self):
-        """Close the files and give up the lock."""
+        """Close the files and release the lock."""
         if self._file is not None:
             os.close(self._file)
             self._file = None
@@ -134,16 +134,16 @@
         try:
             _write_all(self._file, raw)
         except OSError as exc:
-            self._undo(exc)
+            self._roll_back(exc)
         self._sync_or_fail(self._file)
         self._length += len(raw)
         for write in writes:
-            self._note(write)
+            self._apply(write)
 
-    def _undo(self, exc):
-        # A half-written record must go before the next one is written after
-        # it; otherwise the next start finds damage in the middle of a log
-        # whose later records were acknowledged.
+    def _roll_back(self, exc):
+        # A partly written record must be truncated before the next one is
+        # appended.  Otherwise the next start finds a damaged record in the
+        # middle of a log whose later records were acknowledged.
         try:
             os.ftruncate(self._file, self._length)
             os.lseek(self._file, self._length, os.SEEK_SET)
@@ -158,16 +158,16 @@
         try:
             self._sync(descriptor)
         except OSError as exc:
-            # After a failed sync the kernel may drop the pages and report
-            # success to the next one: an acknowledged entry would be gone
-            # after a power cut.  So there is no next one.
+            # After a failed sync the kernel may drop the dirty pages and
+            # report success for the next sync.  An acknowledged entry would
+            # then be lost in a power failure.  So no sync is tried again.
             self._failed = True
             raise DiskFailedError(str(exc)) from exc
 
     def _save_snapshot(self, write):
         snapshot = write.snapshot
-        held = [] if write.discard else self._entries
-        entries = [e for e in held if e.index > snapshot.index]
+        kept = [] if write.discard else self._entries
+        entries = [e for e in kept if e.index > snapshot.index]
         stored = Stored(
             term=self._stored.term,
             voted_for=self._stored.voted_for,
@@ -181,8 +181,8 @@
             length = self._write_generation(generation, stored, entries)
             self._reopen(generation, length)
         except OSError as exc:
-            # The generation before is still whole.  After a failed sync this
-            # process does not know any more which one the disk will show.
+            # The previous generation is still complete.  After a failed sync
+            # it is undefined which of the two a restart will find.
             if exc.errno in _FULL and self._file is not None:
                 self._remove_other_files()
                 raise DiskFullError(str(exc)) from exc
@@ -255,12 +255,12 @@
             snapshot_name(self._generation),
         }
         for name in os.listdir(self._path):
-            ours = name.startswith(("log-", "snapshot-"))
-            if ours and name not in kept:
+            owned = name.startswith(("log-", "snapshot-"))
+            if owned and name not in kept:
                 with contextlib.suppress(OSError):
                     os.unlink(self._path / name)
 
-    def _take_lock(self):
+    def _acquire_lock(self):
         lock = open(self._path / "lock", "w")  # noqa: SIM115
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -271,7 +271,7 @@
             ) from exc
         return lock
 
-    def _note(self, write):
+    def _apply(self, write):
         if isinstance(write, SaveVote):
             self._stored = Stored(
                 term=write.term,
--- a/currantdeal/adapters/disk/inspection.py
+++ b/currantdeal/adapters/disk/inspection.py
@@ -1,4 +1,4 @@
-"""Reading a data folder without changing it, for operators."""
+"""Reports on a data folder to operators, without changing it."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FolderReport:
-    """What a data folder holds, in figures.
+    """Summary of a data folder's content.
 
     Parameters
     ----------
     blank : bool
-        True when the replica remembers nothing and must learn.
+        True if the replica has no state and has to catch up.
     torn_bytes : int
-        Left by a crash; cut at the next start.
+        Length of a torn tail, left by a crash; truncated at the next start.
     """
 
     generation: int
@@ -34,12 +34,12 @@
 
 
 def inspect_folder(path):
-    """Return a report; every record's checksum is checked on the way.
+    """Return a report; verifies the checksum of every record.
 
     Raises
     ------
     DiskError
-        If the folder is not there, holds nothing, or is damaged.
+        If the folder does not exist, is empty, or is damaged.
     """
     content = _read(path)
     stored = content.stored
@@ -63,8 +63,8 @@
 
 def _read(path):
     if not Path(path).is_dir():
-        raise DiskError(f"{path} is no folder")
+        raise DiskError(f"{path} is not a folder")
     content = read_folder(path)
     if content is None:
-        raise DiskError(f"{path} holds no replica")
+        raise DiskError(f"{path} contains no log segment of a replica")
     return content
--- a/currantdeal/adapters/disk/records.py
+++ b/currantdeal/adapters/disk/records.py
@@ -1,10 +1,11 @@
-"""Records in a file: length, checksums, body.
-
-The header carries a checksum of its own.  A file that ends within a record
-whose header is whole was torn while it was written, before anything of that
-record was acknowledged; a record that is whole but fails its checksum was
-damaged later, and may have been acknowledged.  Without the header's checksum
-a damaged length would look like a torn record.
+"""Encodes and scans the records of a file: length, checksums, body.
+
+The header has a checksum of its own, which distinguishes two faults.  If a
+file ends within a record whose header is intact, a crash interrupted the
+write (torn write), and the record was never acknowledged.  If a complete
+record fails its checksum, it was damaged later and may have been
+acknowledged.  Without the header's checksum a damaged length would look like
+a torn record.
 """
 
 import struct
@@ -29,9 +30,9 @@
     Parameters
     ----------
     generation : int
-        Number of the segment; grows with every snapshot.
+        Number of the segment; increases with every snapshot.
     has_snapshot : bool
-        True when a snapshot of the same generation goes before it.
+        True if a snapshot of the same generation precedes it.
     """
 
     generation: int
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ScannedRecord:
-    """A record as found in a file."""
+    """A decoded record and its byte range in the file."""
 
     offset: int
     end: int
@@ -54,12 +55,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scan:
-    """What a file holds.
+    """Result of scanning a file.
 
     Parameters
     ----------
     records : tuple of ScannedRecord
-        All whole records.
+        All complete records.
     good_bytes : int
         Length of the file without a torn tail.
     torn_bytes : int
@@ -72,10 +73,10 @@
 
 
 def encode_record(message, offset):
-    """Return the bytes of a record that will stand at an offset.
+    """Return the bytes of a record to be written at an offset.
 
-    The offset is mixed into the checksum, so that a record that was written
-    to a wrong place does not pass.
+    The offset is the seed of the checksums, so that a record written to a
+    wrong place fails the check.
     """
     body = RECORD_CODEC.encode(message)
     header = _HEADER.pack(len(body), _body_sum(body, offset))
@@ -83,15 +84,15 @@
 
 
 def scan(raw, *, name):
-    """Return the records that a file's bytes hold.
+    """Decode the records in a file's bytes.
 
     Raises
     ------
     DiskCorruptError
-        If a whole record is damaged.
+        If a complete record is damaged.
     """
     if raw[: len(MAGIC)] != MAGIC:
-        raise DiskCorruptError(f"{name}: not a file of currantdeal")
+        raise DiskCorruptError(f"{name}: not a currantdeal data file")
     records = []
     offset = len(MAGIC)
     while offset < len(raw):
--- a/currantdeal/adapters/disk/replay.py
+++ b/currantdeal/adapters/disk/replay.py
@@ -1,4 +1,7 @@
-"""Putting a data folder's files together, without changing them."""
+"""Rebuilds a replica's stored state from its data folder's files.
+
+Only reads the files, so that operators' tools can use it as well.
+"""
 
 import os
 import re
@@ -21,16 +24,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FolderContent:
-    """What a folder holds.
+    """Content of a data folder.
 
     Parameters
     ----------
     generation : int
         Number of the current snapshot and segment.
     good_bytes, torn_bytes : int
-        Of the segment: what counts, and what a crash left half written.
+        Length of the segment's complete records, and of its torn tail.
     records : int
-        Whole records in the segment.
+        Number of complete records in the segment.
     """
 
     stored: Stored
@@ -41,17 +44,17 @@
 
 
 def segment_name(generation):
-    """Return the name of a segment's file."""
+    """Return the file name of a generation's segment."""
     return f"log-{generation:012d}"
 
 
 def snapshot_name(generation):
-    """Return the name of a snapshot's file."""
+    """Return the file name of a generation's snapshot."""
     return f"snapshot-{generation:012d}"
 
 
 def read_folder(path):
-    """Return what a folder holds, without changing it; None if new.
+    """Return the folder's content, or None if it has no segment.
 
     Raises
     ------
@@ -71,10 +74,12 @@
     found = scan((path / name).read_bytes(), name=name)
     replay = _Replay(path=path)
     for record in found.records:
-        replay.take(record.message)
+        replay.apply(record.message)
     start = found.records[0].message if found.records else None
     if start is None or start.generation != generation:
-        raise DiskCorruptError(f"{name}: no start of a segment")
+        raise DiskCorruptError(
+            f"{name}: the first record is not the start of this segment"
+        )
     return FolderContent(
         stored=replay.stored,
         generation=generation,
@@ -84,27 +89,27 @@
     )
 
 
-def add_entries(held, entries):
-    """Return held entries with others put at and after their index.
+def add_entries(log, entries):
+    """Append entries to a log, replacing those from their first index on.
 
     Raises
     ------
     DiskCorruptError
-        If an entry would be missing in between.
+        If there would be a gap between the log and the new entries.
     """
-    if not held:
+    if not log:
         return list(entries)
-    keep = entries[0].index - held[0].index
-    if keep > len(held):
+    keep = entries[0].index - log[0].index
+    if keep > len(log):
         raise DiskCorruptError(f"entry {entries[0].index - 1} is missing")
-    if keep == len(held):
-        held.extend(entries)
-        return held
-    return held[: max(0, keep)] + list(entries)
+    if keep == len(log):
+        log.extend(entries)
+        return log
+    return log[: max(0, keep)] + list(entries)
 
 
 class _Replay:
-    """Puts a segment's records together."""
+    """Replays a segment's records into the stored state."""
 
     def __init__(self, *, path):
         self._path = path
@@ -126,10 +131,10 @@
         )
 
     @singledispatchmethod
-    def take(self, record):
-        raise DiskCorruptError(f"unexpected {type(record).__name__}")
+    def apply(self, record):
+        raise DiskCorruptError(f"unexpected record {type(record).__name__}")
 
-    @take.register
+    @apply.register
     def _(self, record: SegmentStart):
         if not record.has_snapshot:
             return
@@ -139,13 +144,13 @@
         except FileNotFoundError as exc:
             raise DiskCorruptError(f"{name} is missing") from exc
         if len(found.records) != 1 or found.torn_bytes:
-            raise DiskCorruptError(f"{name} is cut short")
+            raise DiskCorruptError(f"{name} is incomplete")
         self._snapshot = found.records[0].message.snapshot
 
-    @take.register
+    @apply.register
     def _(self, record: SaveVote):
         self._vote = record
 
-    @take.register
+    @apply.register
     def _(self, record: SaveEntries):
         self._entries = add_entries(self._entries, record.entries)
--- a/currantdeal/adapters/disk/state_file.py
+++ b/currantdeal/adapters/disk/state_file.py
@@ -1,4 +1,4 @@
-"""One small file that is replaced as a whole."""
+"""Stores a small state in one file that is replaced atomically."""
 
 import os
 import struct
@@ -15,12 +15,12 @@
 
 
 class StateFile:
-    """Bytes that a process keeps over its restarts.
+    """Bytes that persist over restarts of a process.
 
     Parameters
     ----------
     path : str or Path
-        The file; its folder exists when it is written.
+        The file; its folder must exist on a write.
     sync : callable
         Takes a file descriptor and returns when its content is durable.
 
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, *, path, sync=os.fsync):
-        """Open nothing yet."""
+        """Store the path; opens no file."""
         self._path = Path(path)
         self._sync = sync
 
@@ -58,7 +58,9 @@
             raise DiskFailedError(str(exc)) from exc
         content = raw[_SUM.size :]
         if raw[: _SUM.size] != _checksum(content):
-            raise DiskCorruptError(f"{self._path}: the checksum is wrong")
+            raise DiskCorruptError(
+                f"{self._path}: the checksum does not match"
+            )
         return content
 
     def write(self, content):
@@ -67,7 +69,7 @@
         Raises
         ------
         DiskFailedError
-            If it could not be written; the content before is kept.
+            If it could not be written; the previous content is kept.
         """
         temporary = self._path.with_name(f"{self._path.name}.tmp")
         try:
--- a/currantdeal/adapters/disk/tests/test_folder.py
+++ b/currantdeal/adapters/disk/tests/test_folder.py
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def written(path):
-    """Return a folder's path with a snapshot and four records after it."""
+    """Return the path of a folder with a snapshot and four more records."""
     disk = DataFolder(path=path)
     disk.save((snapshot(0),))
     disk.save((SaveVote(term=1, voted_for="i1"),))
@@ -76,7 +76,7 @@
     return disk.stored
 
 
-def test_what_was_saved_is_there_after_a_restart(written):
+def test_saved_state_is_restored_after_a_restart(written):
     stored = reopen(written)
     assert (stored.term, stored.voted_for) == (1, "i1")
     assert [e.index for e in stored.entries] == [1, 2, 3]
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("discard", [False, True])
-def test_snapshot_takes_the_place_of_entries(written, discard):
+def test_snapshot_replaces_entries(written, discard):
     disk = DataFolder(path=written)
     disk.save((entries(4), snapshot(3, discard=discard)))
     disk.close()
@@ -105,10 +105,13 @@
     assert len(list(written.glob("log-*"))) == 1
 
 
-def test_segment_cut_anywhere_keeps_every_whole_record(written, tmp_path):
+def test_segment_truncated_anywhere_keeps_every_complete_record(
+    written, tmp_path
+):
     """The power fails while a record is written.
 
-    What was acknowledged before has to be there; the half record goes.
+    All records acknowledged before must be kept; the torn record is
+    truncated.
     """
     raw = segment(written).read_bytes()
     ends = [rec.end for rec in scan(raw, name="log").records]
@@ -116,16 +119,16 @@
         copy = tmp_path / "copy"
         shutil.copytree(written, copy)
         segment(copy).write_bytes(raw[:length])
-        whole = sum(end <= length for end in ends)
-        assert len(reopen(copy).entries) == max(0, whole - 3)
-        assert segment(copy).stat().st_size == ends[whole - 1]
+        complete = sum(end <= length for end in ends)
+        assert len(reopen(copy).entries) == max(0, complete - 3)
+        assert segment(copy).stat().st_size == ends[complete - 1]
         shutil.rmtree(copy)
 
 
 def test_flipped_bit_in_any_record_is_refused(written):
-    """A disk returns a byte that was never written.
+    """A disk returns a byte that was never written (bit rot).
 
-    Starting from a guess could forget an order that was acknowledged.
+    Starting from a guessed state could lose an acknowledged order.
     """
     for name in (segment(written), next(written.glob("snapshot-*"))):
         raw = name.read_bytes()
@@ -143,7 +146,7 @@
 
 
 def test_record_missing_in_the_middle_is_refused(written):
-    """A whole record is gone, so the ones after it do not follow."""
+    """A whole record is lost, which leaves a gap before the next one."""
     raw = segment(written).read_bytes()
     rec = scan(raw, name="log").records[-2]
     segment(written).write_bytes(raw[: rec.offset] + raw[rec.end :])
@@ -152,7 +155,7 @@
 
 
 def test_missing_snapshot_is_refused(written):
-    """Somebody deletes a file; an empty state must not pass for the last."""
+    """A snapshot is deleted; the replica must not start from empty state."""
     next(written.glob("snapshot-*")).unlink()
     with pytest.raises(DiskCorruptError):
         DataFolder(path=written)
@@ -161,7 +164,7 @@
 def test_two_processes_cannot_use_one_folder(written):
     """An operator starts a second daemon on the same folder by mistake.
 
-    Both would write to one log, and each would forget the other's votes.
+    Both would write to one log, and neither would have the other's votes.
     """
     disk = DataFolder(path=written)
     with pytest.raises(FolderLockedError):
@@ -169,11 +172,11 @@
     disk.close()
 
 
-def test_after_a_failed_sync_nothing_is_accepted(written):
+def test_no_write_is_accepted_after_a_failed_sync(written):
     """The disk reports an error for one sync and success for the next.
 
-    The kernel has dropped the data by then; a retry would acknowledge what
-    is not there after a power cut.
+    The kernel has dropped the data by then.  A retry would acknowledge an
+    entry that is lost in a power failure.
     """
     broken = []
 
@@ -191,10 +194,10 @@
     disk.close()
 
 
-def test_full_disk_refuses_and_loses_nothing(written, monkeypatch):
-    """The disk is full in the middle of a record, and later has room again.
+def test_full_disk_refuses_writes_and_loses_nothing(written, monkeypatch):
+    """The disk is full in the middle of a record, and later has space again.
 
-    Half a record left in place would make the next start fail.
+    If the partial record stayed in the file, the next start would fail.
     """
     disk = DataFolder(path=written)
     write = os.write
@@ -216,7 +219,7 @@
 def test_every_write_is_synced_before_save_returns(path):
     """The power fails right after an acknowledgement.
 
-    Files and, for new ones, the folder must be synced by then.
+    The files must be synced by then, and for new files the folder as well.
     """
     synced = []
 
@@ -234,7 +237,7 @@
     disk.close()
 
 
-def test_report_shows_a_torn_tail_without_cutting_it(written):
+def test_report_shows_a_torn_tail_without_truncating_it(written):
     raw = segment(written).read_bytes()
     segment(written).write_bytes(raw[: -HEADER_BYTES // 2])
     report = inspect_folder(written)
--- a/currantdeal/adapters/replication/__init__.py
+++ b/currantdeal/adapters/replication/__init__.py
@@ -1,4 +1,4 @@
-"""The runtime of the replicated state: replicas, views and leases."""
+"""Runtime of the replicated state: replicas, local views and leases."""
 
 from currantdeal.adapters.replication.port import ReplicatedState
 from currantdeal.adapters.replication.service import StateService, build_state
--- a/currantdeal/adapters/replication/directory.py
+++ b/currantdeal/adapters/replication/directory.py
@@ -1,72 +1,76 @@
-"""Where the replicas are, and which one leads, as far as known here."""
+"""Addresses of the replicas, and the last known leader.
+
+Callers of the replicas get the order in which to try them from here.
+"""
 
 import threading
 
 
 class Directory:
-    """Addresses of the replicas.
+    """Peer addresses of the replicas and the last known leader.
 
     Parameters
     ----------
     me : InstanceId
-        This instance.
+        Name of this instance.
     addresses : mapping
-        From the replicas' names to peer addresses, as in the settings.
+        Peer addresses by replica name, as in the settings.
     routes : mapping
-        Addresses to use in place of others, by name.
+        Addresses by replica name that override ``addresses``.
     """
 
     def __init__(self, *, me, addresses, routes):
-        """Start from the settings."""
+        """Start with the addresses of the settings."""
         self._me = me
         self._routes = dict(routes)
         self._addresses = dict(addresses)
         self._leader = None
-        self._turn = 0
+        self._rotation = 0
         self._lock = threading.Lock()
 
     @property
     def me(self):
-        """Name of the own instance."""
+        """Name of this instance."""
         return self._me
 
     @property
     def leader(self):
-        """The replica last known to lead, or None."""
+        """The last known leader, or None."""
         return self._leader
 
     def address_of(self, instance):
-        """Return the address of a replica, or None."""
+        """Return the peer address of a replica, or None."""
         return self._routes.get(instance) or self._addresses.get(instance)
 
     def set_leader(self, instance):
-        """Note who leads; an empty name tells nothing."""
+        """Record the leader; an empty name or None is ignored."""
         if instance:
             self._leader = instance
 
-    def forget_leader(self, instance):
-        """Note that a replica was of no use as leader."""
+    def clear_leader(self, instance):
+        """Clear the leader if it is this replica, whose call failed."""
         with self._lock:
             if self._leader == instance:
                 self._leader = None
 
     def set_addresses(self, addresses):
-        """Take the addresses of the latest replica set."""
+        """Replace the addresses by those of the latest replica set."""
         if addresses:
             self._addresses = dict(addresses)
 
     def candidates(self):
-        """Return the other replicas, the likely leader first.
+        """Return the other replicas, the last known leader first.
 
-        Without a known leader the order turns with each call, so that one
-        silent replica does not hold up every attempt.
+        The order of the rest rotates with each call, so that one
+        unresponsive replica does not delay every attempt while no leader is
+        known.
         """
         others = [name for name in sorted(self._addresses) if name != self._me]
         if not others:
             return ()
         with self._lock:
-            self._turn += 1
-            start = self._turn % len(others)
+            self._rotation += 1
+            start = self._rotation % len(others)
             leader = self._leader
-        turned = others[start:] + others[:start]
-        return tuple(sorted(turned, key=lambda name: name != leader))
+        rotated = others[start:] + others[:start]
+        return tuple(sorted(rotated, key=lambda name: name != leader))
--- a/currantdeal/adapters/replication/entries.py
+++ b/currantdeal/adapters/replication/entries.py
@@ -1,4 +1,8 @@
-"""From entries of the log to states and results."""
+"""Applies entries of the replicated log to the state.
+
+The replica, the view and the backup of a data folder all use these functions,
+so that they compute the same state.
+"""
 
 from dataclasses import dataclass
 
@@ -18,35 +22,37 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Step:
-    """An entry as the view of the state needs it.
+class StateUpdate:
+    """A log entry, reduced to what is needed to apply it to the state.
 
     Parameters
     ----------
     index : int
-        Version of the state after it.
+        Version of the state after the update.
     command : bytes or None
-        Encoded; None when the entry only moves the version on.
+        Encoded command; None if the entry only increments the version.
     """
 
     index: int
     command: bytes | None
 
 
-def step_of(entry):
-    """Return the step that an entry of the log makes."""
+def update_from_entry(entry):
+    """Return the update that a log entry makes to the state."""
     is_command = entry.kind is EntryKind.COMMAND
-    return Step(index=entry.index, command=entry.data if is_command else None)
+    return StateUpdate(
+        index=entry.index, command=entry.data if is_command else None
+    )
 
 
-def take_step(state, step):
-    """Return the next state and the command's result, if it has one."""
-    if step.command is None:
-        return skip_entry(state, version=step.index), None
-    command = COMMAND_CODEC.decode(step.command)
-    return apply_command(state, command, version=step.index)
+def apply_update(state, update):
+    """Return the next state and the command's result, or None."""
+    if update.command is None:
+        return skip_entry(state, version=update.index), None
+    command = COMMAND_CODEC.decode(update.command)
+    return apply_command(state, command, version=update.index)
 
 
 def state_of(data):
-    """Return the state that a snapshot's bytes hold; empty at the start."""
+    """Decode a snapshot's bytes; no bytes give the empty state."""
     return decode_state(data) if data else ClusterState()
--- a/currantdeal/adapters/replication/errors.py
+++ b/currantdeal/adapters/replication/errors.py
@@ -1,14 +1,14 @@
-"""Errors within the runtime of the replicated state."""
+"""Errors of the replicated state's runtime."""
 
 from currantdeal.adapters.errors import AdapterError
 
 
 class ReplicationError(AdapterError):
-    """Base of the runtime's errors."""
+    """Base class of the runtime's errors."""
 
 
 class NotProposedError(ReplicationError):
-    """The command is in nobody's log, and will not be."""
+    """The command is in no log and never will be; a retry is safe."""
 
 
 class OutcomeUnknownError(ReplicationError):
--- a/currantdeal/adapters/replication/follower.py
+++ b/currantdeal/adapters/replication/follower.py
@@ -1,9 +1,9 @@
-"""Keeping one instance's view up to date and its lease alive.
+"""Renews the lease of one instance and keeps its view up to date.
 
-The lease ends at the instance's own time of *sending* the renewal plus what
-the leader says remains [1]_.  Whatever the renewal waits for on its way only
-shortens the lease, so an instance that was cut off, frozen or delayed stops
-handing out work in time without knowing that anything is wrong.
+The lease ends at the instance's own time of *sending* the renewal plus the
+remaining time that the leader returns [1]_.  Any delay of the renewal on its
+way only shortens the lease.  So an instance that was cut off, paused or
+delayed stops assigning work in time, without having to detect the failure.
 
 References
 ----------
@@ -21,40 +21,40 @@
 from currantdeal.adapters.replication.remote import from_wire
 from currantdeal.state import SnapshotError
 
-NEWS_PAUSE_S = 0.05
-"""Pause before the next renewal after one that brought news.
+PAUSE_AFTER_UPDATE_S = 0.05
+"""Pause before the next renewal after one that returned a later version.
 
-The next renewal tells the leader that the news is applied, which is what a
-change that is to be in force everywhere waits for.
+The next renewal reports to the leader that the version is applied.  A change
+that has to be in force everywhere waits for this report.
 """
 
-CALL_SHARE = 0.25
-"""Share of a lease that one renewal may take.
+CALL_TIMEOUT_SHARE = 0.25
+"""Timeout of one renewal call, as a share of the lease.
 
-A silent leader then costs less than half a lease before another replica is
-asked.
+An unresponsive leader then costs less than half a lease before the next
+replica is called.
 """
 
 
-class ViewFollower:
-    """Thread that renews the lease and applies what the answers bring.
+class LeaseRenewer:
+    """Thread that renews the lease and applies the returned updates.
 
     Parameters
     ----------
     instance, region : str
         Of this instance.
     board : ViewBoard
-        Gets the states and the lease.
+        Receives the states and the lease.
     handler : ReplicaHandler or None
-        The replica of this process, which feeds the board by itself.
+        The replica of this process, which publishes to the board itself.
     remotes : RemoteReplicas
-        Replicas elsewhere.
+        The replicas of other instances.
     directory : Directory
-        Where they are.
+        Their addresses, and the last known leader.
     clock : Clock
         Source of time.
     lease_s, renew_s : float
-        Length of a lease, and interval between renewals.
+        Duration of a lease, and interval between renewals.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         lease_s,
         renew_s,
     ):
-        """Keep the parts; nothing runs before ``start``."""
+        """Store the dependencies; nothing runs before ``start``."""
         self._instance = instance
         self._region = region
         self._board = board
@@ -78,41 +78,42 @@
         self._remotes = remotes
         self._directory = directory
         self._clock = clock
-        self._timeout_s = lease_s * CALL_SHARE
+        self._timeout_s = lease_s * CALL_TIMEOUT_SHARE
         self._renew_s = renew_s
         self._stopped = threading.Event()
-        self._hurry = threading.Event()
+        self._wake = threading.Event()
 
     def start(self):
-        """Renew from now on."""
+        """Start the thread."""
         threading.Thread(
-            target=self._run, name="view-follower", daemon=True
+            target=self._run, name="lease-renewer", daemon=True
         ).start()
 
     def stop(self):
-        """Renew no more and give up the lease, here and at the leader."""
+        """Stop renewing and release the lease, here and on the leader."""
         self._stopped.set()
-        self._hurry.set()
+        self._wake.set()
         self._board.drop_lease()
         self._release()
 
-    def hurry(self):
-        """Renew at once."""
-        self._hurry.set()
+    def renew_now(self):
+        """Wake the thread for an immediate renewal."""
+        self._wake.set()
 
     def renew(self):
-        """Renew once; return whether the answer brought news."""
+        """Renew once; return whether the answer has a later version."""
         sent_s = self._clock.monotonic_s()
         known = self._board.version
-        answer, replica = self._ask(known)
+        answer, replica = self._request_renewal(known)
         if answer is None:
             return False
-        self._take_entries(answer, replica)
+        self._apply_entries(answer, replica)
         wait_s = max(0.0, sent_s + self._timeout_s - self._now_s)
-        if self._board.wait_known(answer.version, timeout_s=wait_s):
-            # Without this order a lease could outlive the view it was
-            # granted for, and work would follow a withdrawn upstream.
-            self._board.admit(answer.version)
+        if self._board.wait_received(answer.version, timeout_s=wait_s):
+            # The lease is extended only after the view has its version.
+            # Otherwise the lease could be valid with an older view, and work
+            # would be routed to a withdrawn upstream.
+            self._board.make_visible_from(answer.version)
             self._board.extend_lease(sent_s + answer.remaining_s)
         return answer.version > known
 
@@ -122,11 +123,11 @@
 
     def _run(self):
         while not self._stopped.is_set():
-            pause_s = NEWS_PAUSE_S if self.renew() else self._renew_s
-            self._hurry.wait(pause_s)
-            self._hurry.clear()
+            pause_s = PAUSE_AFTER_UPDATE_S if self.renew() else self._renew_s
+            self._wake.wait(pause_s)
+            self._wake.clear()
 
-    def _ask(self, version):
+    def _request_renewal(self, version):
         if self._handler is not None:
             answer = self._handler.renew(self._request(version, local=True))
             if answer.granted:
@@ -141,7 +142,7 @@
                 )
             except PeerError:
                 continue
-            self._learn(answer)
+            self._update_directory(answer)
             if answer.granted:
                 return answer, replica
         return None, None
@@ -154,19 +155,19 @@
             forwarded=local,
         )
 
-    def _learn(self, answer):
+    def _update_directory(self, answer):
         self._directory.set_leader(answer.leader)
         self._directory.set_addresses(
             {rep.instance: rep.address for rep in answer.replicas or ()}
         )
 
-    def _take_entries(self, answer, replica):
+    def _apply_entries(self, answer, replica):
         if answer.snapshot_needed and replica is not None:
-            self._fetch_state(replica)
+            self._fetch_snapshot(replica)
         else:
             self._board.apply(from_wire(answer.entries))
 
-    def _fetch_state(self, replica):
+    def _fetch_snapshot(self, replica):
         raw = bytearray()
         version, total = 0, 1
         while len(raw) < total:
--- a/currantdeal/adapters/replication/handler.py
+++ b/currantdeal/adapters/replication/handler.py
@@ -1,8 +1,8 @@
-"""What a replica answers to other instances.
+"""Serves the calls of other instances to a replica.
 
-A replica that does not lead passes renewals and proposals on to the leader
-once, so that an instance whose path to the leader is broken is still served
-through another replica.
+A replica that does not lead forwards renewals, proposals and join requests to
+the leader once.  So an instance that cannot reach the leader directly is still
+served through another replica.
 """
 
 import threading
@@ -19,8 +19,8 @@
     StatePiece,
 )
 from currantdeal.adapters.replication.requests import (
-    AskInForce,
-    AskProgress,
+    CheckInForce,
+    GetProgress,
     Join,
     ReleaseLease,
 )
@@ -34,22 +34,22 @@
 
 
 class ReplicaHandler:
-    """Thrift handler of a replica; also asked within its own process.
+    """Thrift handler of a replica; also called within its own process.
 
     Parameters
     ----------
     local : LocalReplica
         The replica of this process.
     remotes : RemoteReplicas
-        The others.
+        The other replicas.
     directory : Directory
-        Who leads, as far as known here.
+        The last known leader.
     board : ViewBoard
-        The latest state, for those who lag too far for entries.
+        The latest state, for instances that lag too far for entries.
     """
 
     def __init__(self, *, local, remotes, directory, board):
-        """Keep the parts."""
+        """Store the dependencies."""
         self._local = local
         self._remotes = remotes
         self._directory = directory
@@ -58,25 +58,25 @@
         self._lock = threading.Lock()
 
     def deliver(self, messages):
-        """Take messages from another replica; return those to it."""
+        """Deliver messages from another replica; return those in reply."""
         try:
-            found = tuple(MESSAGE_CODEC.decode(raw) for raw in messages)
+            decoded = tuple(MESSAGE_CODEC.decode(raw) for raw in messages)
         except CodecError:
             return []
-        if not found:
+        if not decoded:
             return []
         return [
             MESSAGE_CODEC.encode(answer)
-            for answer in self._local.deliver(found)
+            for answer in self._local.deliver(decoded)
         ]
 
     def renew(self, request):
-        """Grant a lease, or pass the request to the leader."""
+        """Grant a lease, or forward the request to the leader."""
         answer = self._local.renew(request)
         self._directory.set_leader(answer.leader)
         if answer.granted or request.forwarded:
             return answer
-        leader = self._leader_elsewhere(answer.leader)
+        leader = self._remote_leader(answer.leader)
         if leader is None:
             return answer
         request.forwarded = True
@@ -90,11 +90,11 @@
             return RenewAnswer(granted=False)
 
     def propose(self, request):
-        """Put a command into the log, or pass it to the leader."""
+        """Append a command to the log, or forward it to the leader."""
         answer = self._local.propose(request)
         if answer.status != ProposeStatus.NOT_PROPOSED or request.forwarded:
             return answer
-        leader = self._leader_elsewhere(self.hello().leader)
+        leader = self._remote_leader(self.hello().leader)
         if leader is None:
             return answer
         request.forwarded = True
@@ -113,23 +113,23 @@
             )
 
     def state_piece(self, request):
-        """Return a part of the encoded state."""
-        version, raw = self._state_at(request.version)
+        """Return a piece of the encoded state."""
+        version, raw = self._encoded_state(request.version)
         end = request.offset + PIECE_BYTES
         return StatePiece(
             version=version, total=len(raw), data=raw[request.offset : end]
         )
 
     def in_force(self, version):
-        """Tell whether a version is in force everywhere."""
-        answer = self._local.ask(AskInForce(version=version))
+        """Return whether a version is in force everywhere."""
+        answer = self._local.ask(CheckInForce(version=version))
         if answer is None:
             return InForceAnswer(leads=False, in_force=False)
         return InForceAnswer(leads=answer.leads, in_force=answer.in_force)
 
     def progress(self):
-        """Tell who holds a lease on what."""
-        answer = self._local.ask(AskProgress())
+        """Return the lease holders with their versions and remaining times."""
+        answer = self._local.ask(GetProgress())
         if answer is None or not answer.leads:
             return ProgressAnswer(leads=False, holders=[])
         return ProgressAnswer(
@@ -148,11 +148,11 @@
         )
 
     def release_lease(self, instance):
-        """Note that an instance hands out no more work."""
+        """Release the lease of an instance that assigns no more work."""
         self._local.tell(ReleaseLease(instance=instance))
 
     def hello(self):
-        """Tell whether this replica has taken part in anything yet."""
+        """Return whether this replica is fresh or blank, and the leader."""
         status = self._local.status()
         if status is None:
             return HelloAnswer(fresh=False, blank=False, leader="")
@@ -162,12 +162,12 @@
         )
 
     def join(self, request):
-        """Take one step towards having a replica as voter."""
+        """Make one membership change towards a replica becoming a voter."""
         replica = Replica(instance=request.instance, address=request.address)
         joined = self._local.ask(Join(replica=replica, blank=request.blank))
         if joined or request.forwarded:
             return bool(joined)
-        leader = self._leader_elsewhere(self.hello().leader)
+        leader = self._remote_leader(self.hello().leader)
         if leader is None:
             return False
         request.forwarded = True
@@ -180,10 +180,10 @@
         except PeerError:
             return False
 
-    def _leader_elsewhere(self, leader):
+    def _remote_leader(self, leader):
         return leader if leader and leader != self._directory.me else None
 
-    def _state_at(self, version):
+    def _encoded_state(self, version):
         with self._lock:
             if version == 0 or self._encoded[0] != version:
                 state = self._board.latest
--- a/currantdeal/adapters/replication/joiner.py
+++ b/currantdeal/adapters/replication/joiner.py
@@ -1,13 +1,14 @@
-"""How a replica without memory takes part.
+"""Bootstraps the first replica set, and joins a replica to an existing one.
 
-At the very first start every replica of the settings finds all others fresh,
-and they begin with the set in the settings.  Afterwards a replica that finds
-its folder empty has lost its disk, or is new: it asks to join, learns, and
-counts once it has caught up.  It never begins a second first set, because
-that would hide everything the first one agreed on.
+On the first start of a new system every replica of the settings finds all
+others fresh, and they bootstrap the set in the settings.  Later, a replica
+whose folder is empty has lost its disk or is new: it requests to join, catches
+up as a learner and becomes a voter afterwards.  It never bootstraps a second
+set, because that would hide everything the first set committed.
 
-One that was away for long may have been replaced.  It takes itself for a
-voter still and hears no leader, so it asks again after a while.
+A replica that was unreachable for a long time may have been replaced.  Its
+own configuration still lists it as a voter, but it has no leader.  So it
+requests to join again after some time without a leader.
 """
 
 import threading
@@ -19,27 +20,27 @@
 
 CALL_TIMEOUT_S = 0.5
 
-SETTLED_INTERVAL_S = 1.0
-"""Pause between looks of a replica that takes part."""
+MEMBERSHIP_CHECK_INTERVAL_S = 1.0
+"""Interval at which a member of the set checks that it is still one."""
 
 
 class Joiner:
-    """Thread that has this replica take part, also after it was replaced.
+    """Thread that joins this replica to the set, again after a replacement.
 
     Parameters
     ----------
     me : Replica
-        This replica, with the address that others reach it under.
+        This replica, with the address at which others reach it.
     first_set : tuple of Replica
         The replicas of the settings.
     local : LocalReplica
         The replica of this process.
     remotes : RemoteReplicas
-        The others.
+        The other replicas.
     directory : Directory
-        Where they are.
+        Their addresses.
     interval_s : float
-        Time between attempts.
+        Time between attempts to join.
     clock : Clock
         Source of time.
     """
@@ -47,7 +48,7 @@
     def __init__(
         self, *, me, first_set, local, remotes, directory, interval_s, clock
     ):
-        """Keep the parts; nothing runs before ``start``."""
+        """Store the dependencies; nothing runs before ``start``."""
         self._me = me
         self._first_set = first_set
         self._local = local
@@ -56,37 +57,37 @@
         self._interval_s = interval_s
         self._clock = clock
         self._stopped = threading.Event()
-        self._led_s = clock.monotonic_s()
+        self._leader_seen_s = clock.monotonic_s()
 
     def start(self):
-        """Try from now on."""
+        """Start the thread."""
         threading.Thread(target=self._run, name="joiner", daemon=True).start()
 
     def stop(self):
-        """Try no more."""
+        """Stop the thread."""
         self._stopped.set()
 
     def _run(self):
         while not self._stopped.is_set():
             status = self._local.status()
-            if status is not None and self._is_settled(status):
-                self._stopped.wait(SETTLED_INTERVAL_S)
+            if status is not None and self._is_member(status):
+                self._stopped.wait(MEMBERSHIP_CHECK_INTERVAL_S)
                 continue
             if status is not None:
-                self._take_step(status)
+                self._try_to_join(status)
             self._stopped.wait(self._interval_s)
 
-    def _is_settled(self, status):
+    def _is_member(self, status):
         now_s = self._clock.monotonic_s()
         if status.leader is not None:
-            self._led_s = now_s
+            self._leader_seen_s = now_s
         return not status.blank and takes_part(
             status.configuration,
             self._me.instance,
-            alone_s=now_s - self._led_s,
+            alone_s=now_s - self._leader_seen_s,
         )
 
-    def _take_step(self, status):
+    def _try_to_join(self, status):
         if status.fresh and status.blank and self._all_fresh():
             self._local.ask(
                 Bootstrap(configuration=Configuration(voters=self._first_set))
@@ -99,7 +100,7 @@
             forwarded=False,
         )
         for replica in self._directory.candidates():
-            if self._ask(replica, lambda client: client.join(request)):
+            if self._call(replica, lambda client: client.join(request)):
                 return
 
     def _all_fresh(self):
@@ -109,13 +110,13 @@
         for name in names:
             if name == self._me.instance:
                 continue
-            answer = self._ask(name, lambda client: client.hello())
+            answer = self._call(name, lambda client: client.hello())
             if answer is None or not answer.fresh:
                 return False
         return True
 
-    def _ask(self, replica, ask):
+    def _call(self, replica, rpc):
         try:
-            return self._remotes.call(replica, ask, timeout_s=CALL_TIMEOUT_S)
+            return self._remotes.call(replica, rpc, timeout_s=CALL_TIMEOUT_S)
         except PeerError:
             return None
--- a/currantdeal/adapters/replication/local.py
+++ b/currantdeal/adapters/replication/local.py
@@ -1,4 +1,8 @@
-"""Asking the replica of this process, if it has one."""
+"""Calls the replica of this process.
+
+Translates between the Thrift messages of the peer protocol and the requests
+of the replica's actor, so that local and remote calls look alike.
+"""
 
 from dataclasses import replace
 
@@ -17,10 +21,10 @@
     OutcomeUnknownError,
 )
 from currantdeal.adapters.replication.requests import (
-    AskStatus,
     Deliver,
+    GetStatus,
     Propose,
-    ReadSteps,
+    ReadUpdates,
     Renew,
 )
 from currantdeal.core import CodecError
@@ -28,34 +32,34 @@
 ASK_TIMEOUT_S = 2.0
 
 MAX_CLOCK_ERROR_S = 60.0
-"""Most by which a proposer's clock may be ahead of the leader's."""
+"""Maximum by which a proposer's clock may be ahead of the leader's."""
 
 
 class LocalReplica:
-    """The replica of this process, asked in the words of the peers' calls.
+    """Client of the replica in this process, with the peer protocol's calls.
 
     Parameters
     ----------
     ref : pykka.ActorRef
-        Of the ``ReplicaActor``.
+        Reference to the ``ReplicaActor``.
     clock : Clock
-        Bounds the times that proposers put into commands.
+        Limits the timestamps that proposers set in commands.
     """
 
     def __init__(self, *, ref, clock):
-        """Keep the reference and the clock."""
+        """Store the reference and the clock."""
         self._ref = ref
         self._clock = clock
 
     def ask(self, request):
-        """Return the actor's answer; None when it has stopped or is stuck."""
+        """Return the actor's reply; None if it has stopped or times out."""
         try:
             return self._ref.ask(request, timeout=ASK_TIMEOUT_S)
         except (pykka.ActorDeadError, pykka.Timeout):
             return None
 
     def tell(self, request):
-        """Pass a request without waiting; lost when the actor has stopped."""
+        """Send a request without waiting; dropped if the actor has stopped."""
         try:
             self._ref.tell(request)
         except pykka.ActorDeadError:
@@ -63,10 +67,10 @@
 
     def status(self):
         """Return the ``ReplicaStatus``, or None."""
-        return self.ask(AskStatus())
+        return self.ask(GetStatus())
 
     def deliver(self, messages):
-        """Pass messages of one replica; return those that answer them."""
+        """Deliver messages of one replica; return the messages in reply."""
         reply = pykka.ThreadingFuture()
         request = Deliver(
             messages=messages, sender=messages[0].sender, reply=reply
@@ -78,34 +82,34 @@
             return ()
 
     def renew(self, request):
-        """Return a ``RenewAnswer``; not granted unless this one leads."""
-        renewed = self.ask(
+        """Return a ``RenewAnswer``; not granted unless this replica leads."""
+        reply = self.ask(
             Renew(
                 instance=request.instance,
                 region=request.region,
                 version=request.version,
             )
         )
-        if renewed is None:
+        if reply is None:
             return RenewAnswer(granted=False)
         return RenewAnswer(
-            granted=renewed.granted,
-            remaining_s=renewed.remaining_s,
-            version=renewed.version,
-            entries=to_wire(renewed.steps),
-            snapshot_needed=renewed.compacted,
-            leader=renewed.leader or "",
+            granted=reply.granted,
+            remaining_s=reply.remaining_s,
+            version=reply.version,
+            entries=to_wire(reply.updates),
+            snapshot_needed=reply.compacted,
+            leader=reply.leader or "",
             replicas=[
                 ReplicaAddress(instance=rep.instance, address=rep.address)
-                for rep in renewed.members
+                for rep in reply.members
             ],
         )
 
     def propose(self, request):
-        """Return a ``ProposeAnswer``, after commit if this one leads."""
+        """Return a ``ProposeAnswer``; waits for the commit on the leader."""
         reply = pykka.ThreadingFuture()
         try:
-            command = self._check(request.command)
+            command = self._validate(request.command)
             self._ref.tell(Propose(command=command, reply=reply))
             done = reply.get(timeout=request.timeout_s)
         except (NotProposedError, pykka.ActorDeadError, CodecError) as exc:
@@ -116,36 +120,36 @@
             return ProposeAnswer(
                 status=ProposeStatus.UNKNOWN, message=str(exc)
             )
-        found = self.ask(ReadSteps(after=request.version))
-        steps = found.steps or () if found else ()
+        found = self.ask(ReadUpdates(after=request.version))
+        updates = found.updates or () if found else ()
         return ProposeAnswer(
             status=ProposeStatus.DONE,
             version=done.version,
             result=done.result,
-            entries=to_wire(steps),
+            entries=to_wire(updates),
         )
 
-    def _check(self, raw):
-        # A command that cannot be decoded would stop every replica when it
-        # is applied, and again after each restart.
+    def _validate(self, raw):
+        # A command that cannot be decoded would crash every replica that
+        # applies it, and again after each restart.
         command = COMMAND_CODEC.decode(raw)
         latest_s = self._clock.wall_s() + MAX_CLOCK_ERROR_S
         if command.origin.wall_s <= latest_s:
             return raw
-        # Claims expire by the latest time in the log.  One instance whose
-        # clock is days ahead would make all of them expire at once, and a
-        # resent order would run a second time.
+        # Claims expire by the latest timestamp in the log.  One instance
+        # whose clock is days ahead would make all of them expire at once, and
+        # a retried order would run a second time.
         origin = replace(command.origin, wall_s=latest_s)
         return COMMAND_CODEC.encode(replace(command, origin=origin))
 
 
-def to_wire(steps):
-    """Return steps as Thrift entries."""
+def to_wire(updates):
+    """Convert updates to Thrift entries."""
     return [
         LogEntry(
-            index=step.index,
-            command=step.command is not None,
-            data=step.command or b"",
+            index=update.index,
+            command=update.command is not None,
+            data=update.command or b"",
         )
-        for step in steps
+        for update in updates
     ]
--- a/currantdeal/adapters/replication/names.py
+++ b/currantdeal/adapters/replication/names.py
@@ -1,3 +1,3 @@
-"""Names that both ends of a call share."""
+"""Service names that the client and the server of a call share."""
 
 SERVICE_NAME = "replica"
--- a/currantdeal/adapters/replication/outbox.py
+++ b/currantdeal/adapters/replication/outbox.py
@@ -1,7 +1,8 @@
-"""Sending messages to other replicas without waiting for them.
+"""Sends consensus messages to other replicas without blocking the caller.
 
-Each receiver has a few lanes, so that a heartbeat need not wait for the
-answer to the batch before it; consensus messages may overtake each other.
+Each receiver has several sender threads, so that a heartbeat is not delayed
+by a batch whose reply is outstanding (head-of-line blocking).  Consensus
+messages may arrive out of order.
 """
 
 import queue
@@ -12,11 +13,12 @@
 from currantdeal.adapters.replication.names import SERVICE_NAME
 from currantdeal.consensus import MESSAGE_CODEC
 
-LANES = 3
-"""Calls under way to one replica.
+SENDERS_PER_REPLICA = 3
+"""Sender threads, and thus concurrent calls, per receiving replica.
 
-One lane commits one batch per round trip; with three, a batch, a heartbeat
-and an answer travel together over 24 ms without waiting for each other.
+One sender commits one batch per round trip.  With three, a batch, a heartbeat
+and a reply are in flight together on a link of 24 ms without waiting for each
+other.
 """
 
 MAX_QUEUED = 4_096
@@ -25,7 +27,7 @@
 
 
 class Outbox:
-    """Queues of messages, one for each receiver.
+    """Send queues, one per receiving replica.
 
     Parameters
     ----------
@@ -34,56 +36,56 @@
     address_of : callable
         Takes an instance's name and returns its peer address, or None.
     timeout_s : float
-        Longest wait for a receiver to take a batch.
-    take_answers : callable
-        Takes the messages that come back at once.
+        Timeout of the call that delivers a batch.
+    on_replies : callable
+        Called with the messages in the reply to a batch.
     """
 
-    def __init__(self, *, pool, address_of, timeout_s, take_answers):
-        """Start without any lanes."""
+    def __init__(self, *, pool, address_of, timeout_s, on_replies):
+        """Start without queues."""
         self._pool = pool
         self._address_of = address_of
         self._timeout_s = timeout_s
-        self._take_answers = take_answers
+        self._on_replies = on_replies
         self._queues = {}
 
     def send(self, messages):
-        """Queue messages; what a full queue cannot take is lost."""
+        """Queue messages; those for a full queue are dropped."""
         for message in messages:
-            waiting = self._queues.get(message.to)
-            if waiting is None:
-                waiting = self._open(message.to)
-            if waiting.qsize() < MAX_QUEUED:
-                waiting.put(message)
+            pending = self._queues.get(message.to)
+            if pending is None:
+                pending = self._open(message.to)
+            if pending.qsize() < MAX_QUEUED:
+                pending.put(message)
 
     def stop(self):
-        """End all lanes."""
-        for waiting in self._queues.values():
-            for _ in range(LANES):
-                waiting.put(_STOP)
+        """Stop all sender threads."""
+        for pending in self._queues.values():
+            for _ in range(SENDERS_PER_REPLICA):
+                pending.put(_STOP)
 
     def _open(self, name):
-        waiting = queue.SimpleQueue()
-        self._queues[name] = waiting
-        for lane in range(LANES):
+        pending = queue.SimpleQueue()
+        self._queues[name] = pending
+        for number in range(SENDERS_PER_REPLICA):
             threading.Thread(
                 target=self._run,
-                args=(name, waiting),
-                name=f"outbox-{name}-{lane}",
+                args=(name, pending),
+                name=f"outbox-{name}-{number}",
                 daemon=True,
             ).start()
-        return waiting
+        return pending
 
-    def _run(self, name, waiting):
-        while (message := waiting.get()) is not _STOP:
+    def _run(self, name, pending):
+        while (message := pending.get()) is not _STOP:
             batch = [message]
             while len(batch) < MAX_BATCH:
-                message = _get_now(waiting)
+                message = _get_nowait(pending)
                 if message is None:
                     break
                 batch.append(message)
             if not self._deliver(name, batch):
-                _drop_all(waiting)
+                _drop_all(pending)
 
     def _deliver(self, name, batch):
         address = self._address_of(name)
@@ -91,7 +93,7 @@
             return False
         raw = [MESSAGE_CODEC.encode(message) for message in batch]
         try:
-            answers = self._pool.call(
+            replies = self._pool.call(
                 address,
                 SERVICE_NAME,
                 ReplicaService.Client,
@@ -100,31 +102,31 @@
             )
         except PeerError:
             return False
-        if answers:
-            self._take_answers(
-                tuple(MESSAGE_CODEC.decode(answer) for answer in answers)
+        if replies:
+            self._on_replies(
+                tuple(MESSAGE_CODEC.decode(reply) for reply in replies)
             )
         return True
 
 
-def _get_now(waiting):
+def _get_nowait(pending):
     try:
-        message = waiting.get_nowait()
+        message = pending.get_nowait()
     except queue.Empty:
         return None
     if message is _STOP:
-        waiting.put(_STOP)
+        pending.put(_STOP)
     return message
 
 
-def _drop_all(waiting):
-    # What piled up while a receiver was silent is stale by now; sending it
-    # after the silence would delay the heartbeat that ends an election.
+def _drop_all(pending):
+    # Messages queued while a receiver was unreachable are stale.  Sending
+    # them first would delay the heartbeat that ends an election.
     stop_seen = 0
     while True:
         try:
-            stop_seen += waiting.get_nowait() is _STOP
+            stop_seen += pending.get_nowait() is _STOP
         except queue.Empty:
             break
     for _ in range(stop_seen):
-        waiting.put(_STOP)
+        pending.put(_STOP)
--- a/currantdeal/adapters/replication/port.py
+++ b/currantdeal/adapters/replication/port.py
@@ -1,4 +1,8 @@
-"""The replicated state as the rest of an instance sees it."""
+"""Gives the rest of an instance access to the replicated state.
+
+Reads use the local view and its lease.  Changes and queries go to the leader,
+through the replica of this process if there is one.
+"""
 
 from currantdeal.adapters.errors import PeerError
 from currantdeal.adapters.generated.consensus.ttypes import (
@@ -14,16 +18,16 @@
 from currantdeal.core import StateUnavailableError
 from currantdeal.ports import InstanceProgress
 
-RETRY_S = 0.05
-TRY_S = 1.0
-"""Longest wait for one try at proposing, in seconds.
+RETRY_INTERVAL_S = 0.05
+ATTEMPT_TIMEOUT_S = 1.0
+"""Timeout of one attempt to propose a command, in seconds.
 
-A leader that was cut off keeps its followers' calls open without a word.  A
-change that waited for it to the end would fail, although another leader is
-elected after a second or two; so it is proposed again under its request id,
-which makes it happen once.
+A leader that is cut off leaves its followers' calls open without an answer.
+A change that waited for it until the caller's timeout would fail, although
+another leader is elected after one or two seconds.  So the change is proposed
+again under the same request id, which ensures that it is applied once.
 """
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 QUERY_TIMEOUT_S = 1.0
 CALL_SLACK_S = 0.25
 
@@ -31,69 +35,70 @@
 class ReplicatedState:
     """Implements ``ports.StatePort`` on every instance.
 
-    An instance with a replica asks it within the process; any other asks a
+    An instance with a replica calls it within the process; any other calls a
     replica over the network.  A proposal without an answer is sent again
-    under the same request id, which the replicated state recognises.
+    under the same request id, by which the replicated state detects the
+    duplicate.
 
     Parameters
     ----------
     board : ViewBoard
         The view and its lease.
-    follower : ViewFollower
-        Told to hurry when a proposal needs a later view.
+    renewer : LeaseRenewer
+        Renews at once when a proposal needs a later view.
     handler : ReplicaHandler or None
         The replica of this process.
     remotes : RemoteReplicas
-        Replicas elsewhere.
+        The replicas of other instances.
     directory : Directory
-        Where they are and who leads.
+        Their addresses, and the last known leader.
     clock : Clock
         Source of time.
     """
 
-    def __init__(self, *, board, follower, handler, remotes, directory, clock):
-        """Keep the parts."""
+    def __init__(self, *, board, renewer, handler, remotes, directory, clock):
+        """Store the dependencies."""
         self._board = board
-        self._follower = follower
+        self._renewer = renewer
         self._handler = handler
         self._remotes = remotes
         self._directory = directory
         self._clock = clock
 
     def view(self):
-        """Return the latest state known here."""
+        """Return the visible state."""
         return self._board.view
 
     def lease_remaining_s(self):
-        """Return how long the view may still guide new work."""
+        """Return how long the view may still be used for new work."""
         return max(0.0, self._board.lease_ends_s - self._now_s)
 
     def leader(self):
-        """Return the instance that leads, if known here."""
+        """Return the last known leader, or None."""
         if self._handler is not None:
             self._directory.set_leader(self._handler.hello().leader)
         return self._directory.leader
 
     def propose(self, command, *, timeout_s):
-        """Return the result once a quorum has the command on disk."""
+        """Return the result once a quorum has synced the command to disk."""
         due_s = self._now_s + timeout_s
         raw = COMMAND_CODEC.encode(command)
         maybe_proposed = False
         message = "no leader is known"
         while (left_s := due_s - self._now_s) > 0:
-            answer = self._propose_once(raw, min(left_s, TRY_S))
+            answer = self._propose_once(raw, min(left_s, ATTEMPT_TIMEOUT_S))
             if answer.status == ProposeStatus.DONE:
-                return self._take_result(answer, due_s)
+                return self._apply_result(answer, due_s)
             maybe_proposed |= answer.status == ProposeStatus.UNKNOWN
             message = answer.message or message
-            self._clock.sleep(min(RETRY_S, left_s))
+            self._clock.sleep(min(RETRY_INTERVAL_S, left_s))
         raise StateUnavailableError(message, proposed=maybe_proposed)
 
     def wait_in_force(self, version, *, timeout_s):
         """Return the seconds until the version is in force everywhere."""
         start_s = self._now_s
         while True:
-            answer = self._ask_leader(lambda ask: ask.in_force(version))
+            answer = self._call_leader(lambda client: client.in_force(version))
             waited_s = self._now_s - start_s
             if answer is not None and answer.in_force:
                 return waited_s
@@ -102,26 +107,26 @@
                     f"version {version} is not in force everywhere yet",
                     proposed=True,
                 )
-            self._clock.sleep(POLL_S)
+            self._clock.sleep(POLL_INTERVAL_S)
 
     def progress(self):
-        """Return the progress of every instance the leader knows.
+        """Return the progress of every instance in the leader's records.
 
         The list has every instance that may still hold a lease: an instance
-        that is not in it holds none.  A new leader that cannot yet know who
-        holds leases of its predecessor lists every home with what may
-        remain.
+        that is not in it holds none.  A new leader has no record of the
+        leases that its predecessor granted.  Until these have expired, it
+        lists every home with the longest time that may remain.
 
-        To take over an upstream for sure, propose ``AssignHome`` and then
-        wait with ``wait_in_force`` for its version: afterwards the former
-        home has applied it or has no lease, whatever it asked for between.
+        To take over an upstream safely, propose ``AssignHome`` and then call
+        ``wait_in_force`` with its version: afterwards the former home has
+        applied it or has no lease, whatever it requested in the meantime.
 
         Raises
         ------
         StateUnavailableError
             If no leader answered.
         """
-        answer = self._ask_leader(lambda ask: ask.progress())
+        answer = self._call_leader(lambda client: client.progress())
         if answer is None:
             raise StateUnavailableError("no leader answers", proposed=False)
         return tuple(
@@ -175,26 +180,27 @@
             forwarded=local,
         )
 
-    def _take_result(self, answer, due_s):
+    def _apply_result(self, answer, due_s):
         self._board.apply(from_wire(answer.entries))
         if self._board.view.version < answer.version:
-            self._follower.hurry()
+            self._renewer.renew_now()
             wait_s = max(0.0, due_s - self._now_s)
-            if not self._board.wait_shown(answer.version, timeout_s=wait_s):
+            if not self._board.wait_visible(answer.version, timeout_s=wait_s):
                 raise StateUnavailableError(
-                    "committed, but not visible here yet", proposed=True
+                    "committed, but not visible on this instance yet",
+                    proposed=True,
                 )
         return RESULT_CODEC.decode(answer.result)
 
-    def _ask_leader(self, ask):
+    def _call_leader(self, rpc):
         if self._handler is not None:
-            answer = ask(self._handler)
+            answer = rpc(self._handler)
             if answer.leads:
                 return answer
         for replica in self._directory.candidates():
             try:
                 answer = self._remotes.call(
-                    replica, ask, timeout_s=QUERY_TIMEOUT_S
+                    replica, rpc, timeout_s=QUERY_TIMEOUT_S
                 )
             except PeerError:
                 continue
--- a/currantdeal/adapters/replication/replica.py
+++ b/currantdeal/adapters/replication/replica.py
@@ -1,7 +1,8 @@
-"""The actor that runs a replica: disk, outbox, leases and the applied state.
+"""Runs a replica as an actor, with its disk, outbox, leases and state.
 
-The actor handles what is in its inbox before it writes: one sync covers all
-proposals and messages that came while the one before was under way.
+The actor handles all requests in its inbox before it writes (group commit):
+one sync covers all proposals and messages that arrived during the previous
+sync.
 """
 
 from functools import singledispatchmethod
@@ -12,36 +13,36 @@
 from currantdeal.adapters.disk import DiskError
 from currantdeal.adapters.replication import compaction
 from currantdeal.adapters.replication.entries import (
+    apply_update,
     state_of,
-    step_of,
-    take_step,
+    update_from_entry,
 )
 from currantdeal.adapters.replication.errors import NotProposedError
+from currantdeal.adapters.replication.pending import (
+    OpenCalls,
+    PendingProposals,
+    fail,
+)
 from currantdeal.adapters.replication.requests import (
-    AskInForce,
-    AskProgress,
-    AskStatus,
     Bootstrap,
+    CheckInForce,
     Compact,
     Deliver,
-    HandOver,
+    GetProgress,
+    GetStatus,
     InForce,
     Join,
     LeaseProgress,
     Propose,
-    ReadSteps,
+    ReadUpdates,
     ReleaseLease,
     Remove,
     Renew,
-    Renewed,
+    RenewReply,
     ReplicaStatus,
-    Steps,
     Tick,
-)
-from currantdeal.adapters.replication.waiting import (
-    Callers,
-    Proposals,
-    fail,
+    TransferLeadership,
+    Updates,
 )
 from currantdeal.consensus import (
     CompactedError,
@@ -52,11 +53,11 @@
     NotLeaderError,
 )
 
-MAX_UNWRITTEN = 256
-"""Messages handled at most before the writes are synced."""
+MAX_MESSAGES_PER_SYNC = 256
+"""Maximum number of messages handled before the writes are synced."""
 
-MAX_STEPS = 512
-MAX_STEP_BYTES = 262_144
+MAX_UPDATES = 512
+MAX_UPDATE_BYTES = 262_144
 
 _log = structlog.get_logger(__name__)
 
@@ -71,19 +72,19 @@
     folder : DataFolder
         Its durable state.
     outbox : Outbox
-        Takes messages to other replicas.
+        Sends messages to other replicas.
     board : ViewBoard
-        Gets every state that is applied.
+        Receives every applied state.
     clock : Clock
         Source of time.
     random : random.Random
-        Source of the election timeouts.
+        Source of randomness of the election timeouts.
     node_settings : NodeSettings
         Intervals of the replica.
     lease_s : float
-        Length of a lease on the view.
+        Duration of a lease on the view.
     on_configuration : callable
-        Told of the latest replica set.
+        Called with every new configuration of the replica set.
     """
 
     use_daemon_thread = True
@@ -101,7 +102,7 @@
         lease_s,
         on_configuration,
     ):
-        """Start from what the folder holds."""
+        """Start from the folder's stored state."""
         super().__init__()
         self._folder = folder
         self._outbox = outbox
@@ -121,30 +122,33 @@
             stored.snapshot.data if stored.snapshot else b""
         )
         self._compaction = compaction.Compaction(
-            index=self._state.version, tell=self._tell_self
+            index=self._state.version, send=self._send_to_self
         )
-        self._proposals = Proposals()
-        self._callers = Callers()
+        self._pending_proposals = PendingProposals()
+        self._open_calls = OpenCalls()
         self._leases = None
-        self._unwritten = 0
-        self._held = None
-        self._shown_role = None
+        self._messages_since_sync = 0
+        self._unsaved = None
+        self._logged_role = None
         self._configuration = None
         board.publish(self._state)
 
     def on_receive(self, message):
-        """Handle one message; write when the inbox is empty."""
-        answer = self._take(message)
-        self._unwritten += 1
-        if self.actor_inbox.empty() or self._unwritten >= MAX_UNWRITTEN:
-            self._unwritten = 0
+        """Handle one message; write and sync if the inbox is empty."""
+        answer = self._handle(message)
+        self._messages_since_sync += 1
+        if (
+            self.actor_inbox.empty()
+            or self._messages_since_sync >= MAX_MESSAGES_PER_SYNC
+        ):
+            self._messages_since_sync = 0
             self._flush()
         return answer
 
     def on_stop(self):
-        """Fail what is pending and give up the folder."""
-        self._callers.release()
-        self._proposals.fail_all("the instance stops")
+        """Complete open calls, fail proposals and close the folder."""
+        self._open_calls.complete_all()
+        self._pending_proposals.fail_all("the instance stops")
         self._folder.close()
 
     @property
@@ -153,28 +157,28 @@
 
     @property
     def _leads(self):
-        return self._node.is_ready and self._held is None
+        return self._node.is_ready and self._unsaved is None
 
     @singledispatchmethod
-    def _take(self, message):
-        raise TypeError(f"not a request: {message!r}")
+    def _handle(self, message):
+        raise TypeError(f"no handler for request {message!r}")
 
-    @_take.register
+    @_handle.register
     def _(self, message: Tick):
-        if self._held is None:
+        if self._unsaved is None:
             self._node.tick(self._now_s)
 
-    @_take.register
+    @_handle.register
     def _(self, message: Deliver):
         if message.reply is not None:
-            self._callers.add(message.sender, message.reply)
-        # A replica whose disk takes nothing must not answer; to the others
-        # it looks like one that is cut off.
-        if self._held is None:
+            self._open_calls.add(message.sender, message.reply)
+        # A replica whose disk refuses writes must not reply; to the others it
+        # appears unreachable.
+        if self._unsaved is None:
             for item in message.messages:
                 self._node.receive(item, self._now_s)
 
-    @_take.register
+    @_handle.register
     def _(self, message: Propose):
         if not self._leads:
             fail(message.reply, NotProposedError("no leader"))
@@ -184,15 +188,15 @@
         except NotLeaderError as exc:
             fail(message.reply, NotProposedError(str(exc)))
             return
-        self._proposals.add(entry, message.reply)
+        self._pending_proposals.add(entry, message.reply)
 
-    @_take.register
+    @_handle.register
     def _(self, message: Renew):
         now_s = self._now_s
         members = self._node.configuration.members
         leader = self._node.leader
         if not self._leads or message.version > self._state.version:
-            return Renewed(granted=False, leader=leader, members=members)
+            return RenewReply(granted=False, leader=leader, members=members)
         remaining_s = self._lease_table().renew(
             message.instance,
             message.region,
@@ -200,40 +204,40 @@
             anchor_s=self._node.quorum_acked_s(now_s),
             now_s=now_s,
         )
-        found = self._steps_after(message.version)
-        return Renewed(
+        found = self._updates_after(message.version)
+        return RenewReply(
             granted=remaining_s > 0.0,
             leader=leader,
             members=members,
             remaining_s=remaining_s,
             version=self._state.version,
-            steps=found.steps or (),
-            compacted=found.steps is None,
+            updates=found.updates or (),
+            compacted=found.updates is None,
         )
 
-    @_take.register
+    @_handle.register
     def _(self, message: ReleaseLease):
         if self._leads:
             self._lease_table().release(message.instance)
 
-    @_take.register
-    def _(self, message: ReadSteps):
-        return self._steps_after(message.after)
+    @_handle.register
+    def _(self, message: ReadUpdates):
+        return self._updates_after(message.after)
 
-    @_take.register
-    def _(self, message: AskInForce):
+    @_handle.register
+    def _(self, message: CheckInForce):
         if not self._leads:
             return InForce(leads=False)
-        known = self._state.version >= message.version
+        applied = self._state.version >= message.version
         now_s = self._now_s
         return InForce(
             leads=True,
-            in_force=known
+            in_force=applied
             and self._lease_table().in_force(message.version, now_s),
         )
 
-    @_take.register
-    def _(self, message: AskProgress):
+    @_handle.register
+    def _(self, message: GetProgress):
         if not self._leads:
             return LeaseProgress(leads=False)
         table, now_s = self._lease_table(), self._now_s
@@ -247,8 +251,8 @@
             ),
         )
 
-    @_take.register
-    def _(self, message: AskStatus):
+    @_handle.register
+    def _(self, message: GetStatus):
         node = self._node
         return ReplicaStatus(
             role=node.role.value,
@@ -262,54 +266,56 @@
             configuration=node.configuration,
         )
 
-    @_take.register
+    @_handle.register
     def _(self, message: Bootstrap):
         if self._node.is_fresh and self._node.blank:
             self._node.bootstrap(message.configuration)
 
-    @_take.register
+    @_handle.register
     def _(self, message: Join):
-        return self._change(
+        return self._change_members(
             lambda: self._node.join(
                 message.replica, blank=message.blank, now_s=self._now_s
             )
         )
 
-    @_take.register
+    @_handle.register
     def _(self, message: Remove):
-        return self._change(
+        return self._change_members(
             lambda: self._node.remove(message.instance, self._now_s)
         )
 
-    @_take.register
-    def _(self, message: HandOver):
+    @_handle.register
+    def _(self, message: TransferLeadership):
         self._node.transfer(self._now_s)
 
-    @_take.register
+    @_handle.register
     def _(self, message: Compact):
         if message.index >= self._node.base_index:
-            self._compaction.note(message.index)
+            self._compaction.record_snapshot(message.index)
             self._node.compact(
                 index=message.index,
                 data=message.data,
                 keep=compaction.KEEP_ENTRIES,
             )
 
-    def _steps_after(self, version):
+    def _updates_after(self, version):
         try:
             entries = self._node.entries_after(
-                version, limit=MAX_STEPS, max_bytes=MAX_STEP_BYTES
+                version, limit=MAX_UPDATES, max_bytes=MAX_UPDATE_BYTES
             )
         except CompactedError:
-            return Steps(version=self._state.version, steps=None)
-        steps = tuple(
-            step_of(e) for e in entries if e.index <= self._state.version
+            return Updates(version=self._state.version, updates=None)
+        updates = tuple(
+            update_from_entry(e)
+            for e in entries
+            if e.index <= self._state.version
         )
-        return Steps(version=self._state.version, steps=steps)
+        return Updates(version=self._state.version, updates=updates)
 
-    def _change(self, ask):
+    def _change_members(self, change):
         try:
-            ask()
+            change()
         except InvariantError:
             raise
         except ConsensusError:
@@ -317,8 +323,9 @@
         return True
 
     def _lease_table(self):
-        # Leases belong to one leadership: the next one knows nothing of
-        # what this one granted and must wait for it.
+        # A lease table belongs to one leadership.  The next leader has no
+        # record of the leases that this one granted and must wait until they
+        # have expired.
         elected_s = self._node.elected_s
         if self._leases is None or self._leases.elected_s != elected_s:
             self._leases = LeaseTable(
@@ -327,18 +334,20 @@
         return self._leases
 
     def _flush(self):
-        while self._carry_out():
+        while self._process_output():
             pass
-        self._callers.release()
+        self._open_calls.complete_all()
         if not self._node.is_ready:
-            self._proposals.fail_all("leadership was lost")
-        self._note_changes()
-        if self._held is None:
-            self._compaction.consider(self._state, self._folder.segment_bytes)
-
-    def _carry_out(self):
-        output = self._held or self._node.take_output()
-        if self._held is None:
+            self._pending_proposals.fail_all("leadership was lost")
+        self._report_changes()
+        if self._unsaved is None:
+            self._compaction.start_if_due(
+                self._state, self._folder.segment_bytes
+            )
+
+    def _process_output(self):
+        output = self._unsaved or self._node.take_output()
+        if self._unsaved is None:
             self._outbox.send(output.early)
         if not self._save(output):
             return False
@@ -346,11 +355,11 @@
         self._outbox.send(
             message
             for message in output.messages
-            if not self._callers.take(message)
+            if not self._open_calls.add_message(message)
         )
         if output.installed is not None:
             self._state = state_of(output.installed.data)
-            self._compaction.note(output.installed.index)
+            self._compaction.record_snapshot(output.installed.index)
         for entry in output.committed:
             self._apply(entry)
         if output.installed is not None or output.committed:
@@ -361,30 +370,32 @@
         try:
             self._folder.save(output.writes)
         except DiskError as exc:
-            if self._held is None:
+            if self._unsaved is None:
                 _log.error("disk-refused", error=str(exc))
-                self._proposals.fail_all("the disk takes no writes")
-            self._held = output
+                self._pending_proposals.fail_all("the disk refuses writes")
+            self._unsaved = output
             return False
-        if self._held is not None:
+        if self._unsaved is not None:
             _log.info("disk-accepts-again")
-            self._held = None
+            self._unsaved = None
         return True
 
     def _apply(self, entry):
-        self._state, result = take_step(self._state, step_of(entry))
-        self._proposals.resolve(entry, result)
+        self._state, result = apply_update(
+            self._state, update_from_entry(entry)
+        )
+        self._pending_proposals.resolve(entry, result)
 
-    def _tell_self(self, message):
+    def _send_to_self(self, message):
         try:
             self.actor_ref.tell(message)
         except pykka.ActorDeadError:
             return
 
-    def _note_changes(self):
+    def _report_changes(self):
         role = self._node.role
-        if role is not self._shown_role:
-            self._shown_role = role
+        if role is not self._logged_role:
+            self._logged_role = role
             _log.info("replica-role", role=role.value, term=self._node.term)
         configuration = self._node.configuration
         if configuration is not self._configuration:
--- a/currantdeal/adapters/replication/requests.py
+++ b/currantdeal/adapters/replication/requests.py
@@ -1,30 +1,30 @@
-"""Messages to the actor that runs a replica."""
+"""Requests to the actor that runs a replica, and its replies."""
 
 from dataclasses import dataclass
 
 from pykka import Future
 
-from currantdeal.adapters.replication.entries import Step
+from currantdeal.adapters.replication.entries import StateUpdate
 from currantdeal.consensus import Configuration, Holder, Message, Replica
 from currantdeal.core import InstanceId, RegionId
 
 
 @dataclass(frozen=True, kw_only=True)
 class Tick:
-    """Time has passed."""
+    """Run the timers: heartbeats and election timeouts."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Deliver:
-    """Messages came from another replica.
+    """Process consensus messages from another replica.
 
     Parameters
     ----------
     sender : InstanceId or None
-        Whom ``reply`` answers.
+        The replica whose open call ``reply`` completes.
     reply : Future or None
-        Gets the messages to the sender that they lead to, once those may be
-        sent; otherwise these would need a call of their own.
+        Receives the messages to the sender that result, once they may be
+        sent.  This saves a separate call for each of them.
     """
 
     messages: tuple[Message, ...]
@@ -34,15 +34,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Propose:
-    """Put a command into the log; ``reply`` gets a ``Proposed``."""
+    """Append a command to the log; ``reply`` receives a ``Committed``."""
 
     command: bytes
     reply: Future
 
 
 @dataclass(frozen=True, kw_only=True)
-class Proposed:
-    """A command was committed and applied."""
+class Committed:
+    """Reply to a proposal whose command was committed and applied."""
 
     version: int
     result: bytes
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Renew:
-    """An instance asks the leader for a lease; answered by ``Renewed``."""
+    """Renew an instance's lease; the reply is a ``RenewReply``."""
 
     instance: InstanceId
     region: RegionId
@@ -58,15 +58,16 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Renewed:
-    """A replica's answer to a renewal.
+class RenewReply:
+    """A replica's reply to a renewal.
 
     Parameters
     ----------
-    steps : tuple of Step
-        What the instance has not seen, as far as one answer holds it.
+    updates : tuple of StateUpdate
+        Updates that the instance lacks, up to the size limit of a reply.
     compacted : bool
-        True when the instance needs a snapshot instead.
+        True if these updates were compacted and the instance needs a
+        snapshot instead.
     """
 
     granted: bool
@@ -74,27 +75,27 @@
     members: tuple[Replica, ...]
     remaining_s: float = 0.0
     version: int = 0
-    steps: tuple[Step, ...] = ()
+    updates: tuple[StateUpdate, ...] = ()
     compacted: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReleaseLease:
-    """An instance hands out no more work."""
+    """Release the lease of an instance that assigns no more work."""
 
     instance: InstanceId
 
 
 @dataclass(frozen=True, kw_only=True)
-class ReadSteps:
-    """Ask for committed steps after a version; None when compacted."""
+class ReadUpdates:
+    """Read the committed updates after a version."""
 
     after: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskInForce:
-    """Ask the leader whether a version is in force everywhere."""
+class CheckInForce:
+    """Check on the leader whether a version is in force everywhere."""
 
     version: int
 
@@ -108,13 +109,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskProgress:
-    """Ask the leader who holds a lease."""
+class GetProgress:
+    """Read the lease holders from the leader."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseProgress:
-    """Who holds a lease, with what is left of each."""
+    """The lease holders, with the remaining time of each lease."""
 
     leads: bool
     holders: tuple[Holder, ...] = ()
@@ -122,13 +123,23 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskStatus:
-    """Ask what this replica is; answered by ``ReplicaStatus``."""
+class GetStatus:
+    """Read this replica's ``ReplicaStatus``."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReplicaStatus:
-    """What a replica is at present."""
+    """Current role, term, log position and configuration of a replica.
+
+    Parameters
+    ----------
+    ready : bool
+        True on a leader that serves renewals and proposals.
+    fresh : bool
+        True if the replica has neither a term nor a log entry yet.
+    blank : bool
+        True if the replica has lost, or never had, its durable state.
+    """
 
     role: str
     term: int
@@ -143,14 +154,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Bootstrap:
-    """Start the very first replica set."""
+    """Initialise the first replica set of a new system."""
 
     configuration: Configuration
 
 
 @dataclass(frozen=True, kw_only=True)
 class Join:
-    """Take one step towards having a replica as voter."""
+    """Make one membership change towards a replica becoming a voter."""
 
     replica: Replica
     blank: bool
@@ -158,27 +169,33 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Remove:
-    """Take a replica out of the set."""
+    """Remove a replica from the set."""
 
     instance: InstanceId
 
 
 @dataclass(frozen=True, kw_only=True)
-class HandOver:
-    """Give leadership to another replica."""
+class TransferLeadership:
+    """Transfer leadership to another replica."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Compact:
-    """A snapshot of the applied state is encoded."""
+    """Replace the log up to an index by an encoded snapshot."""
 
     index: int
     data: bytes
 
 
 @dataclass(frozen=True, kw_only=True)
-class Steps:
-    """Committed steps, and the version up to which the log is applied."""
+class Updates:
+    """Committed updates, and the version up to which the log is applied.
+
+    Parameters
+    ----------
+    updates : tuple of StateUpdate or None
+        None if the requested updates were compacted.
+    """
 
     version: int
-    steps: tuple[Step, ...] | None
+    updates: tuple[StateUpdate, ...] | None
--- a/currantdeal/adapters/replication/service.py
+++ b/currantdeal/adapters/replication/service.py
@@ -1,4 +1,8 @@
-"""Building the replicated state of one instance from its settings."""
+"""Builds the replicated state of one instance from its settings.
+
+Connects the replica, the local view and the lease renewal, and owns their
+threads.
+"""
 
 import random
 import threading
@@ -7,7 +11,7 @@
 from currantdeal.adapters.generated.consensus import Replica as ReplicaService
 from currantdeal.adapters.replication.board import ViewBoard
 from currantdeal.adapters.replication.directory import Directory
-from currantdeal.adapters.replication.follower import ViewFollower
+from currantdeal.adapters.replication.follower import LeaseRenewer
 from currantdeal.adapters.replication.handler import ReplicaHandler
 from currantdeal.adapters.replication.joiner import Joiner
 from currantdeal.adapters.replication.local import LocalReplica
@@ -18,47 +22,47 @@
 from currantdeal.adapters.replication.replica import ReplicaActor
 from currantdeal.adapters.replication.requests import (
     Deliver,
-    HandOver,
     Remove,
     Tick,
+    TransferLeadership,
 )
 from currantdeal.consensus import NodeSettings, Replica
 
 TICKS_PER_HEARTBEAT = 3
-HAND_OVER_POLL_S = 0.05
+TRANSFER_POLL_INTERVAL_S = 0.05
 
 
 class StateService:
     """The replicated state of one instance, with its threads.
 
-    An instance whose settings name a data folder runs a replica; any other
-    only follows.
+    An instance whose settings name a data folder runs a replica.  Any other
+    only renews its lease and keeps a view.
 
     Parameters
     ----------
     settings : Settings
-        Of the instance.
+        Settings of the instance.
     peer_server : PeerServer
-        Serves this instance's replica; not started here.
+        Serves this instance's replica; the caller starts it.
     peer_pool : PeerPool
         Connections to other instances.
     clock : Clock
         Source of time.
-    chance : random.Random or None
-        Source of election timeouts.
+    rng : random.Random or None
+        Source of randomness of the election timeouts.
     sync : callable or None
-        In place of ``os.fsync``, for tests.
+        Replaces ``os.fsync`` in tests.
 
     Examples
     --------
-    The daemon wires it like this, in this order::
+    The daemon calls it in this order::
 
         state = build_state(settings, peer_server, peer_pool, clock)
         peer_server.start()
         state.start()
-        ...                     # hand state.port to serving and membership
+        ...                     # pass state.port to serving and membership
         state.hand_over()       # on a drain, while still serving
-        state.stop()            # when no new work is handed out any more
+        state.stop()            # when no new work is assigned any more
     """
 
     def __init__(
@@ -68,10 +72,10 @@
         peer_server,
         peer_pool,
         clock,
-        chance=None,
+        rng=None,
         sync=None,
     ):
-        """Build the parts and register the replica's handler."""
+        """Build the components and register the replica's handler."""
         self._clock = clock
         self._timing = settings.timing
         self._me = Replica(
@@ -91,11 +95,11 @@
         self._ref = self._local = self._handler = None
         self._joiner = self._outbox = None
         if settings.data_folder:
-            self._add_replica(settings, peer_server, peer_pool, chance, sync)
-        self._follower = self._build_follower(settings)
+            self._add_replica(settings, peer_server, peer_pool, rng, sync)
+        self._renewer = self._build_renewer(settings)
         self._port = ReplicatedState(
             board=self._board,
-            follower=self._follower,
+            renewer=self._renewer,
             handler=self._handler,
             remotes=self._remotes,
             directory=self._directory,
@@ -113,18 +117,18 @@
         return self._local
 
     def start(self):
-        """Start the threads; the peer server must be serving by now."""
+        """Start the threads; the peer server must already be serving."""
         if self._ref is not None:
             threading.Thread(
                 target=self._tick, name="replica-tick", daemon=True
             ).start()
             self._joiner.start()
-        self._follower.start()
+        self._renewer.start()
 
     def hand_over(self, *, timeout_s=3.0):
-        """Give leadership to another replica; return whether it is given.
+        """Transfer leadership to another replica; return False on timeout.
 
-        True at once on an instance that does not lead.
+        Returns True at once on an instance that does not lead.
         """
         if self._local is None:
             return True
@@ -133,18 +137,18 @@
             status = self._local.status()
             if status is None or status.role != "leader":
                 return True
-            self._local.tell(HandOver())
-            self._clock.sleep(HAND_OVER_POLL_S)
+            self._local.tell(TransferLeadership())
+            self._clock.sleep(TRANSFER_POLL_INTERVAL_S)
         return False
 
     def remove_replica(self, instance):
-        """Take a replica out of the set; True when this one could do it."""
+        """Remove a replica from the set; return whether this one could."""
         return bool(self._local and self._local.ask(Remove(instance=instance)))
 
     def stop(self):
-        """Give up the lease and stop the threads and the replica."""
+        """Release the lease and stop the threads and the replica."""
         self._stopped.set()
-        self._follower.stop()
+        self._renewer.stop()
         if self._ref is not None:
             self._joiner.stop()
             self._ref.stop()
@@ -157,8 +161,8 @@
             routes={rt.instance: rt.peer_address for rt in settings.routes},
         )
 
-    def _build_follower(self, settings):
-        return ViewFollower(
+    def _build_renewer(self, settings):
+        return LeaseRenewer(
             instance=settings.instance,
             region=settings.region,
             board=self._board,
@@ -170,14 +174,14 @@
             renew_s=self._timing.renew_s,
         )
 
-    def _add_replica(self, settings, peer_server, peer_pool, chance, sync):
+    def _add_replica(self, settings, peer_server, peer_pool, rng, sync):
         folder_options = {"sync": sync} if sync else {}
         folder = DataFolder(path=settings.data_folder, **folder_options)
         self._outbox = Outbox(
             pool=peer_pool,
             address_of=self._directory.address_of,
             timeout_s=self._timing.election_s,
-            take_answers=self._take_answers,
+            on_replies=self._deliver_replies,
         )
         self._ref = ReplicaActor.start(
             me=settings.instance,
@@ -185,13 +189,13 @@
             outbox=self._outbox,
             board=self._board,
             clock=self._clock,
-            random=chance or random.Random(),
+            random=rng or random.Random(),
             node_settings=NodeSettings(
                 heartbeat_s=self._timing.heartbeat_s,
                 election_s=self._timing.election_s,
             ),
             lease_s=self._timing.lease_s,
-            on_configuration=self._note_configuration,
+            on_configuration=self._update_addresses,
         )
         self._local = LocalReplica(ref=self._ref, clock=self._clock)
         self._handler = ReplicaHandler(
@@ -213,12 +217,12 @@
             clock=self._clock,
         )
 
-    def _note_configuration(self, configuration):
+    def _update_addresses(self, configuration):
         self._directory.set_addresses(
             {rep.instance: rep.address for rep in configuration.members}
         )
 
-    def _take_answers(self, messages):
+    def _deliver_replies(self, messages):
         self._local.tell(Deliver(messages=messages))
 
     def _tick(self):
--- a/currantdeal/adapters/replication/tests/builders.py
+++ b/currantdeal/adapters/replication/tests/builders.py
@@ -1,4 +1,7 @@
-"""A few instances of the replicated state in one process, over loopback."""
+"""Test cluster: instances of the replicated state in one process.
+
+The instances call each other over loopback.
+"""
 
 import errno
 import itertools
@@ -34,12 +37,12 @@
 
 
 def wait_until(condition):
-    """Return once a condition holds; fail after the limit."""
+    """Wait until a condition holds; fail after ``LIMIT_S``."""
     waiting.wait_until(condition, what="condition", limit_s=LIMIT_S)
 
 
 def origin(*, request_id=None, instance="i1", wall_s=None):
-    """Return an origin, by default of a request of its own."""
+    """Return an origin, by default with a unique request id."""
     return Origin(
         request_id=request_id or f"request-{next(_numbers)}",
         actor="ana",
@@ -58,7 +61,7 @@
 
 
 def claim(key, *, digest="d", **who):
-    """Return a command that claims a call."""
+    """Return a command that claims a call by its idempotency key."""
     return ClaimCall(
         origin=origin(**who),
         key=ClaimKey(caller="nube", service="shop", key=key),
@@ -67,7 +70,7 @@
 
 
 def announce(name):
-    """Return the announcement of a plain service."""
+    """Return a command that announces an upstream of kind service."""
     return AnnounceUpstream(
         origin=origin(),
         upstream=Upstream(
@@ -84,7 +87,7 @@
 
 
 def withdraw(name, *, version=0):
-    """Return an operator's withdrawal of an upstream."""
+    """Return an operator's command that withdraws an upstream."""
     return SetLabels(
         origin=origin(),
         upstream_id=name,
@@ -93,32 +96,37 @@
     )
 
 
-class CuttablePool(PeerPool):
-    """A pool whose paths to some addresses can be cut."""
+class FaultInjectingPool(PeerPool):
+    """Connection pool with network faults, by peer address.
+
+    Calls to a ``partitioned`` address fail at once; calls to an
+    ``unresponsive`` address wait until their timeout.
+    """
 
     def __init__(self):
-        """Start with every path whole."""
+        """Start without faults."""
         super().__init__()
-        self.cut = set()
-        self.silent = set()
+        self.partitioned = set()
+        self.unresponsive = set()
 
     def call(self, address, *args, timeout_s):
-        """Fail at once on a cut path."""
-        if address in self.silent:
+        """Make the call, unless the address has a fault."""
+        if address in self.unresponsive:
             time.sleep(timeout_s)
-            raise PeerError(f"{address}: silent", sent=True)
-        if address in self.cut:
-            raise PeerError(f"{address}: cut", sent=True)
+            raise PeerError(f"{address}: unresponsive", sent=True)
+        if address in self.partitioned:
+            raise PeerError(f"{address}: partitioned", sent=True)
         answer = super().call(address, *args, timeout_s=timeout_s)
-        if address in self.cut:
-            raise PeerError(f"{address}: cut", sent=True)
+        if address in self.partitioned:
+            raise PeerError(f"{address}: partitioned", sent=True)
         return answer
 
 
 class Cluster:
-    """Replicas ``i1`` ... and instances without a disk after them.
+    """Replicas ``i1``, ``i2``, ..., then instances without a replica.
 
-    The settings name the replicas of the first set, all if it is None.
+    The settings name the first ``first_set`` replicas as the first replica
+    set; all replicas if it is None.
     """
 
     def __init__(self, folder, *, replicas=3, others=1, first_set=None):
@@ -153,12 +161,12 @@
         return None
 
     def wait_for_leader(self):
-        """Return the leader, once there is one."""
+        """Wait for a ready leader and return it."""
         wait_until(lambda: self.leader() is not None)
         return self.leader()
 
     def wait_for_leases(self):
-        """Return once every instance holds a lease."""
+        """Wait until every instance holds a lease."""
         wait_until(
             lambda: all(
                 service.port.lease_remaining_s() > 0
@@ -167,42 +175,42 @@
         )
 
     def kill(self, name):
-        """End an instance without a word."""
-        self.pools[name].cut.update(self.addresses.values())
+        """Stop an instance; its calls fail, so it notifies no other."""
+        self.pools[name].partitioned.update(self.addresses.values())
         self._servers[name].stop()
         self.services.pop(name).stop()
 
     def start(self, name):
-        """Start an ended instance again, under its old address."""
+        """Restart a killed instance at its old address."""
         port = int(self.addresses[name].rpartition(":")[2])
         server = PeerServer(host="127.0.0.1", port=port)
         self._servers[name] = server
         self._start(name, server)
 
     def isolate(self, name):
-        """Cut every path to and from an instance."""
-        self.pools[name].cut.update(self.addresses.values())
+        """Fail every call to and from an instance."""
+        self.pools[name].partitioned.update(self.addresses.values())
         for pool in self.pools.values():
-            pool.cut.add(self.addresses[name])
+            pool.partitioned.add(self.addresses[name])
 
-    def silence(self, name):
-        """Let every call to an instance wait in vain."""
+    def make_unresponsive(self, name):
+        """Let every call to an instance time out."""
         self.isolate(name)
         for pool in self.pools.values():
-            pool.silent.add(self.addresses[name])
+            pool.unresponsive.add(self.addresses[name])
 
     def heal(self):
-        """Make every path whole."""
+        """Remove all network faults."""
         for pool in self.pools.values():
-            pool.cut.clear()
-            pool.silent.clear()
+            pool.partitioned.clear()
+            pool.unresponsive.clear()
 
     def folder(self, name):
         """Return the data folder of a replica."""
         return self._folder / name
 
     def close(self):
-        """End everything."""
+        """Kill every instance."""
         for name in list(self.services):
             self.kill(name)
 
@@ -221,7 +229,7 @@
             data_folder=str(self.folder(name)) if replica else "",
             timing=TIMING,
         )
-        pool = CuttablePool()
+        pool = FaultInjectingPool()
 
         def sync(descriptor):
             if name in self.failing_disks:
--- a/currantdeal/adapters/replication/tests/test_board.py
+++ b/currantdeal/adapters/replication/tests/test_board.py
@@ -6,19 +6,19 @@
     return skip_entry(ClusterState(), version=version)
 
 
-def test_nothing_is_shown_that_a_leader_has_not_vouched_for():
-    """A replica starts from an old disk after it had shown later versions.
+def test_no_state_is_visible_before_a_leader_confirms_its_version():
+    """A replica restarts from a disk that is older than its last view.
 
-    Showing what the disk held would bring a withdrawn upstream back to work
-    until the first renewal.
+    If the state on disk were visible, requests would be routed to a withdrawn
+    upstream until the first renewal.
     """
     board = ViewBoard()
     board.publish(state_at(5))
     assert board.view.version == 0
-    board.admit(7)
+    board.make_visible_from(7)
     assert board.view.version == 0
     board.publish(state_at(8))
     assert board.view.version == 8
     board.publish(state_at(6))
-    board.admit(9)
+    board.make_visible_from(9)
     assert board.view.version == 8
--- a/currantdeal/adapters/replication/tests/test_linearizability.py
+++ b/currantdeal/adapters/replication/tests/test_linearizability.py
@@ -21,18 +21,18 @@
 
 
 def swap(version, expected):
-    """Step of a selector: its version, changed by compare-and-set."""
+    """Model of a selector: its version, changed by compare-and-set."""
     if expected == version:
         return version + 1, "won"
     return version, "lost"
 
 
-def hold(owner, asker):
-    """Step of a claim: the first asker holds it for good."""
-    return owner or asker, owner or asker
+def hold(owner, caller):
+    """Model of a claim: the first caller holds it permanently."""
+    return owner or caller, owner or caller
 
 
-def test_checker_tells_right_from_wrong():
+def test_checker_accepts_only_linearizable_histories():
     def history(*answers):
         return [
             Operation(call_s=n, return_s=n + 0.5, ask=0, answer=answer)
@@ -48,7 +48,7 @@
 
 
 class Client:
-    """Records what one client asked and was answered."""
+    """Makes calls on a cluster and records their operations."""
 
     def __init__(self, cluster, number, histories):
         self.cluster = cluster
@@ -57,9 +57,9 @@
         self.done = 0
 
     def run(self):
-        for turn in range(CALLS):
-            key = KEYS[(turn + self.number) % len(KEYS)]
-            self._record(f"claim-{turn // 3}", self._claim)
+        for call in range(CALLS):
+            key = KEYS[(call + self.number) % len(KEYS)]
+            self._record(f"claim-{call // 3}", self._claim)
             self._record(key, self._swap)
             self.done += 1
 
@@ -104,7 +104,7 @@
 
 
 def swap_version(version, ask):
-    """Step of a selector whose versions are those of the state."""
+    """Model of a selector whose versions are those of the state."""
     expected, after = ask
     if expected != version:
         return version, "lost"
@@ -112,10 +112,10 @@
 
 
 def test_histories_are_linearizable_through_loss_of_the_leader(tmp_path):
-    """Clients race for claims and selectors while the leader is lost.
+    """Concurrent clients change claims and selectors while the leader fails.
 
-    Each answer must fit one order of all calls; otherwise two callers could
-    both believe that theirs is the one booking.
+    All answers must fit one sequential order of the calls.  Otherwise two
+    callers could both be granted the same booking.
     """
     cluster = Cluster(tmp_path, replicas=3, others=2)
     histories = {}
--- a/currantdeal/adapters/replication/tests/test_replicated_state.py
+++ b/currantdeal/adapters/replication/tests/test_replicated_state.py
@@ -39,7 +39,9 @@
     return seen
 
 
-def test_change_is_seen_at_once_here_and_soon_everywhere(cluster):
+def test_change_is_visible_to_the_proposer_at_once_and_then_everywhere(
+    cluster,
+):
     result = propose(cluster, "i4", selector("all"))
     assert "all" in cluster.port("i4").view().selectors
     cluster.port("i4").wait_in_force(result.version, timeout_s=LIMIT_S)
@@ -49,11 +51,12 @@
     assert {item.instance for item in progress} == set(cluster.services)
 
 
-def test_racing_operators_one_wins_and_resend_gets_first_answer(cluster):
-    """Two operators change one selector under the same version.
+def test_one_of_two_concurrent_changes_wins_and_its_retry_succeeds(cluster):
+    """Two operators change one selector with the same expected version.
 
-    The winner's answer is lost, so it sends again.  Without the check one
-    change would vanish silently, and the winner would be told that it lost.
+    The answer to the first is lost, so it retries.  Without the version check
+    one change would be lost silently; without deduplication the retry would
+    report a conflict to the operator whose change was applied.
     """
     first = selector("all", expression="tier=gold")
     won = propose(cluster, "i1", first)
@@ -64,10 +67,10 @@
 
 
 def test_claim_is_granted_once_through_loss_of_the_leader(cluster):
-    """The leader dies right after a booking was claimed.
+    """The leader crashes right after a booking was claimed.
 
-    The caller resends through another instance.  A second grant would send two
-    engineers to one auditorium.
+    The caller retries through another instance.  A second grant would book
+    the call twice and send two engineers to one auditorium.
     """
     granted = propose(cluster, "i4", claim("hall-7", request_id="first"))
     assert isinstance(granted, ClaimGranted)
@@ -80,8 +83,8 @@
 def test_clock_far_ahead_makes_no_claim_expire(cluster):
     """An instance's clock is two days ahead when it claims a call.
 
-    Were its time taken, every claim would count as older than its retention,
-    and an order that is sent again would run a second time.
+    If its timestamp were used, every claim would be older than the retention
+    and expire, and a retried order would run a second time.
     """
     propose(cluster, "i4", claim("cake"))
     ahead_s = time.time() + 2 * 86_400.0
@@ -90,11 +93,13 @@
     assert isinstance(again, ClaimExists)
 
 
-def test_cut_off_instance_loses_its_lease_before_a_withdrawal_counts(cluster):
-    """An instance is cut off silently and an upstream is withdrawn.
+def test_lease_of_partitioned_instance_ends_before_withdrawal_is_in_force(
+    cluster,
+):
+    """An instance is partitioned and an upstream is withdrawn.
 
-    Without a lease it would go on sending orders to the withdrawn upstream for
-    as long as the cut lasts.
+    Without leases the instance would route orders to the withdrawn upstream
+    for the whole duration of the partition.
     """
     propose(cluster, "i1", announce("shop-1"))
     wait_until(lambda: "shop-1" in cluster.port("i4").view().upstreams)
@@ -108,12 +113,12 @@
     assert cluster.port("i4").view().upstreams["shop-1"].withdrawn
 
 
-def test_isolated_leader_grants_nothing_and_loses_nothing(cluster):
-    """The leader is cut off silently and does not know it.
+def test_isolated_leader_grants_no_leases_and_loses_no_changes(cluster):
+    """The leader is partitioned and does not detect it.
 
-    If it went on
-    granting leases or accepting changes, two halves of the system would
-    follow different selectors, and one half's changes would be lost.
+    If it continued to grant leases or accept changes (split brain), the two
+    sides would use different selectors, and the changes of one side would be
+    lost.
     """
     propose(cluster, "i1", selector("before"))
     cluster.wait_for_leases()
@@ -127,23 +132,23 @@
     wait_until(lambda: "during" in cluster.port(old).view().selectors)
 
 
-def test_silent_leader_does_not_use_up_the_proposers_time(cluster):
-    """The leader's path goes silent, and an operator withdraws an upstream.
+def test_unresponsive_leader_does_not_exhaust_the_proposers_timeout(cluster):
+    """The leader becomes unresponsive, and an operator withdraws an upstream.
 
-    Waiting for the silent leader to the end would refuse the withdrawal,
-    although another replica leads long before.
+    If the proposer waited for that leader until its timeout, the withdrawal
+    would fail, although another replica is elected long before.
     """
     propose(cluster, "i4", announce("shop-1"))
-    cluster.silence(cluster.wait_for_leader())
+    cluster.make_unresponsive(cluster.wait_for_leader())
     assert isinstance(propose(cluster, "i4", withdraw("shop-1")), Applied)
 
 
-def test_replica_that_lost_its_disk_learns_before_it_counts(cluster):
+def test_replica_that_lost_its_disk_catches_up_before_it_votes(cluster):
     """A replica's disk is lost and replaced by an empty one.
 
-    A second replica is lost right after the repair.  Had the first one voted
-    before it learned, an accepted change could be gone; had it never been
-    counted again, the system would stand still.
+    A second replica is lost right after the repair.  If the first one voted
+    before it caught up, a committed change could be lost; if it never became
+    a voter again, there would be no quorum.
     """
     propose(cluster, "i4", selector("kept"))
     leader = cluster.wait_for_leader()
@@ -165,12 +170,13 @@
     assert "kept" in cluster.port(broken).view().selectors
 
 
-def test_replica_that_gave_way_joins_again_when_it_is_back(tmp_path):
-    """A replica is cut off for so long that one that stood by replaces it.
+def test_replaced_replica_joins_again_after_the_partition_heals(tmp_path):
+    """A replica is partitioned for so long that a learner replaces it.
 
-    When the path is whole again it takes itself for a voter, and hears from
-    nobody: it would stay behind until somebody restarts it, and the next
-    loss would find nobody who stands by.
+    After the partition heals, its own configuration still lists it as a
+    voter, but no leader contacts it.  Without a new join request it would
+    lag until somebody restarts it, and no learner would be available to
+    replace the next lost voter.
     """
     cluster = Cluster(tmp_path, replicas=4, others=0, first_set=3)
     try:
@@ -195,8 +201,8 @@
 def test_replica_whose_disk_fails_acknowledges_nothing(cluster):
     """One replica is down and a second one's disk fails.
 
-    Were the second one's answers counted, a change would be accepted that
-    only one disk holds, and the loss of that one would undo it.
+    If the second replica acknowledged entries, a change would be committed
+    that only one disk holds, and the loss of that disk would lose the change.
     """
     leader = cluster.wait_for_leader()
     down, failing = (n for n in cluster.replicas if n != leader)
@@ -214,10 +220,10 @@
 def test_restart_after_many_changes_never_shows_an_older_version(
     cluster, monkeypatch
 ):
-    """Instances restart after changes that are only in a snapshot any more.
+    """Instances restart after changes whose log entries were compacted.
 
-    Showing what its disk held would bring
-    a withdrawn upstream back to work for a moment.
+    If a restarted instance made the older state on its disk visible, requests
+    would be routed to a withdrawn upstream until the first renewal.
     """
     monkeypatch.setattr(compaction, "COMPACT_ENTRIES", 40)
     monkeypatch.setattr(compaction, "KEEP_ENTRIES", 5)
@@ -237,9 +243,9 @@
 
 
 def test_whole_cluster_restarts_from_its_disks(cluster):
-    """The power fails in every data center at once.
+    """The power fails in every data centre at once.
 
-    Everything that was accepted has to be there afterwards.
+    Every accepted change must be present after the restart.
     """
     for number in range(5):
         propose(cluster, "i4", selector(f"s{number}"))
@@ -251,7 +257,7 @@
     assert len(cluster.port("i4").view().selectors) == 5
 
 
-def test_leadership_is_handed_over(cluster):
+def test_leadership_is_transferred_on_request(cluster):
     leader = cluster.wait_for_leader()
     propose(cluster, "i4", selector("all"))
     assert cluster.services[leader].hand_over(timeout_s=LIMIT_S)
