--- a/currantdeal/membership/__init__.py
+++ b/currantdeal/membership/__init__.py
@@ -1,4 +1,8 @@
-"""Which instances are alive, and which of them is home of an upstream."""
+"""Membership of instances, and the homes that keep upstreams' reservations.
+
+The home of an upstream is the instance that keeps the ledger of its memory
+reservations.
+"""
 
 from currantdeal.membership.entries import (
     EntriesAnswer,
@@ -6,7 +10,7 @@
     choose_entries,
 )
 from currantdeal.membership.errors import MembershipError, WireError
-from currantdeal.membership.grants import GrantBook, HeldGrant, digest_of
+from currantdeal.membership.grants import GrantBook, HeldReservation, digest_of
 from currantdeal.membership.home import Phase, UpstreamHome
 from currantdeal.membership.home_book import BookLimits, Cancel, HomeBook
 from currantdeal.membership.home_messages import (
@@ -65,7 +69,7 @@
     "GrantBook",
     "GrowCall",
     "HOME_CODEC",
-    "HeldGrant",
+    "HeldReservation",
     "HeldKey",
     "HomeBook",
     "HomePlanner",
--- a/currantdeal/membership/entries.py
+++ b/currantdeal/membership/entries.py
@@ -1,9 +1,10 @@
-"""Which addresses callers are told to use.
+"""Service discovery: choice of the entry addresses that callers use.
 
-Load pattern: callers ask, keep the answer a while and connect on their own,
-so nothing stands in front that could even out their load.  Without an order
-by load, all callers of a region would go to the first address of the list;
-without leaving out draining instances, a planned stop would cut callers off.
+Load pattern: client-side load balancing.  Callers request the addresses, cache
+the answer and connect directly, so there is no load balancer in front of the
+entries.  Without an order by load, all callers of a region would connect to
+the first address of the list.  Draining instances are left out, because a
+planned stop would break the connections of their callers.
 """
 
 from dataclasses import dataclass
@@ -11,17 +12,17 @@
 from currantdeal.core import RegionId
 from currantdeal.ports import MemberStatus
 
-LOAD_BAND = 0.1
-"""Loads closer together than this count as equal.
+LOAD_BUCKET = 0.1
+"""Width of the ranges within which loads are equal.
 
-Load is known with a lag of about a second; a finer order would send every
-caller to one instance until the next news arrives.
+Load reports lag by about a second.  With a finer order, all callers would
+connect to one instance until the next report arrives.
 """
 
 
 @dataclass(frozen=True, kw_only=True)
 class EntryAddress:
-    """One address that callers may use."""
+    """Address of an entry that callers may use."""
 
     address: str
     region: RegionId
@@ -29,14 +30,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EntriesAnswer:
-    """Answer of ``/v1/entries``; ``keep_s`` is how long it may be kept."""
+    """Answer of ``/v1/entries``.
+
+    Parameters
+    ----------
+    entries : tuple of EntryAddress
+        Entries in order of preference.
+    keep_s : float
+        Time for which callers may cache the answer, in seconds.
+    """
 
     entries: tuple[EntryAddress, ...]
     keep_s: float
 
 
 def choose_entries(members, *, region, draining, keep_s, rng):
-    """Return the answer for a caller.
+    """Return the live entries that do not drain, in order of preference.
 
     Parameters
     ----------
@@ -45,11 +54,11 @@
     region : RegionId
         Region of the instance that answers; its entries come first.
     draining : container of InstanceId
-        Instances that drain by the replicated state.
+        Instances that the replicated state marks as draining.
     keep_s : float
-        How long callers may keep the answer, in seconds.
+        Time for which callers may cache the answer, in seconds.
     rng : random.Random
-        Shuffles instances of equal load, so that callers spread.
+        Shuffles instances of equal load to distribute the callers.
     """
     usable = [
         member
@@ -59,15 +68,15 @@
         and member.instance not in draining
     ]
     rng.shuffle(usable)
-    usable.sort(key=lambda found: _order(found, region))
+    usable.sort(key=lambda m: _sort_key(m, region))
     return EntriesAnswer(
         entries=tuple(
-            EntryAddress(address=found.caller_address, region=found.region)
-            for found in usable
+            EntryAddress(address=m.caller_address, region=m.region)
+            for m in usable
         ),
         keep_s=keep_s,
     )
 
 
-def _order(member, region):
-    return member.region != region, int(member.load / LOAD_BAND)
+def _sort_key(member, region):
+    return member.region != region, int(member.load / LOAD_BUCKET)
--- a/currantdeal/membership/errors.py
+++ b/currantdeal/membership/errors.py
@@ -4,8 +4,8 @@
 
 
 class MembershipError(CurrantdealError):
-    """Base of the errors of membership and homes."""
+    """Base class of the errors of membership and homes."""
 
 
 class WireError(MembershipError):
-    """A datagram does not hold a membership message."""
+    """Received bytes cannot be decoded."""
--- a/currantdeal/membership/grants.py
+++ b/currantdeal/membership/grants.py
@@ -1,14 +1,15 @@
-"""What an entry holds at the homes of upstreams.
-
-The entry renews nothing per request.  Its heartbeat to a home carries the
-number of its reservations there and a digest over their request ids; the
-home asks for the list only when that differs from its ledger, which happens
-after a lost release.
-
-A reservation whose home is silent is kept.  If the home is dead, its
-successor asks for it; if only the path is cut, the home cancels the request
-on the engine, where the entry sees its stream end.  Forgetting it would have
-the successor cancel requests that are well.
+"""Reservations that an entry holds at the homes of upstreams.
+
+Reservations are not renewed one by one.  The heartbeat of an entry to a home
+carries the number of its reservations there and a digest of their request
+ids.  The home requests the list only if the digest differs from its ledger,
+which happens after a lost release.
+
+A reservation is kept while its home is unreachable.  If the home is dead, the
+next home requests the reservations of the entry.  If only the network path is
+interrupted, the home cancels the request on the engine, and the entry detects
+the end of its stream.  If the entry removed the reservation, the next home
+would cancel requests that still run.
 """
 
 import threading
@@ -22,21 +23,21 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeldGrant:
-    """A reservation that is held, or has been asked for.
+class HeldReservation:
+    """Reservation that is pending or held.
 
     Parameters
     ----------
     request : ReservationRequest
-        What was asked for.
+        Original request.
     home : InstanceId
-        The home that was asked or has adopted it.
+        Home that received the request or has adopted the reservation.
     fence : FencingNumber
-        That home's fencing number.
+        Fencing number of the home.
     pieces : int
-        Pieces held, with what it grew by.
+        Pieces held, including those added after the grant.
     grant : Grant or None
-        None until the home has answered.
+        Grant of the home; None until the home has answered.
     """
 
     request: ReservationRequest
@@ -47,7 +48,9 @@
 
 
 def digest_of(keys):
-    """Return the ``Claims`` over (upstream, request) pairs, in any order.
+    """Return the ``Claims`` of (upstream, request) pairs.
+
+    The result is independent of the order of the pairs.
 
     Examples
     --------
@@ -65,16 +68,16 @@
 
 
 class GrantBook:
-    """Reservations of one entry, shared by the threads that serve callers.
+    """Thread-safe table of the reservations of one entry.
 
     Examples
     --------
     >>> from currantdeal.membership import GrantBook
     >>> from currantdeal.ports import ReservationRequest
     >>> book = GrantBook()
-    >>> ask = ReservationRequest(
+    >>> request = ReservationRequest(
     ...     request_id="r1", caller="c", entry="i1", upstream_id="d1")
-    >>> book.ask(ask, home="i2", fence=7)
+    >>> book.ask(request, home="i2", fence=7)
     >>> [held.request.request_id for held in book.of_upstream("d1")]
     ['r1']
     >>> book.end("d1", "r1") is not None
@@ -84,26 +87,27 @@
     """
 
     def __init__(self):
-        """Start with no reservations."""
+        """Start without reservations."""
         self._lock = threading.Lock()
         self._held = {}
 
     def ask(self, request, *, home, fence):
-        """Note a reservation before it is asked for.
+        """Record a reservation before the request is sent to its home.
 
-        A home that takes over asks living entries what they hold.  Without
-        this note a grant whose answer is still on its way would be missing
-        from the list and its request would be cancelled.
+        A new home requests the reservations of the reachable entries.  If a
+        reservation were recorded only with the grant, one whose answer is in
+        transit would be missing from the list, and its request would be
+        cancelled.
         """
         key = request.upstream_id, request.request_id
-        held = HeldGrant(
+        held = HeldReservation(
             request=request, home=home, fence=fence, pieces=request.pieces
         )
         with self._lock:
             self._held.setdefault(key, held)
 
     def granted(self, grant):
-        """Note the home's grant; return whether it is still wanted."""
+        """Record a grant; return whether its reservation still exists."""
         key = grant.upstream_id, grant.request_id
         with self._lock:
             held = self._held.get(key)
@@ -114,7 +118,7 @@
         return held is not None
 
     def grown(self, grant, *, pieces):
-        """Note that a grant holds more pieces than before."""
+        """Record that pieces were added to a grant."""
         key = grant.upstream_id, grant.request_id
         with self._lock:
             held = self._held.get(key)
@@ -122,17 +126,17 @@
                 self._held[key] = replace(held, pieces=held.pieces + pieces)
 
     def end(self, upstream_id, request_id):
-        """Forget a reservation and return it, or None."""
+        """Remove a reservation and return it, or None if it is unknown."""
         with self._lock:
             return self._held.pop((upstream_id, request_id), None)
 
     def get(self, upstream_id, request_id):
-        """Return a reservation, or None when it is not held."""
+        """Return a reservation, or None if it is unknown."""
         with self._lock:
             return self._held.get((upstream_id, request_id))
 
     def of_upstream(self, upstream_id):
-        """Return what is held of one upstream."""
+        """Return the reservations on one upstream."""
         with self._lock:
             return tuple(
                 held
@@ -141,27 +145,31 @@
             )
 
     def of_home(self, home):
-        """Return what is held at one home."""
+        """Return the reservations at one home."""
         with self._lock:
             return tuple(
                 held for held in self._held.values() if held.home == home
             )
 
     def homes(self):
-        """Return the homes at which something is held."""
+        """Return the homes with at least one reservation."""
         with self._lock:
             return {held.home for held in self._held.values()}
 
     def adopt(self, upstream_id, *, home, fence):
-        """Return what is held of an upstream, now under another home."""
+        """Move the reservations on an upstream to a new home; return them.
+
+        Reservations with the same or a later fencing number are not moved,
+        but are returned too.
+        """
         with self._lock:
             for key, held in self._held.items():
                 if key[0] == upstream_id and held.fence < fence:
-                    self._held[key] = _moved(held, home, fence)
+                    self._held[key] = _with_home(held, home, fence)
         return self.of_upstream(upstream_id)
 
 
-def _moved(held, home, fence):
+def _with_home(held, home, fence):
     grant = held.grant
     if grant is not None:
         grant = replace(grant, home=home, fence=fence)
--- a/currantdeal/membership/home.py
+++ b/currantdeal/membership/home.py
@@ -1,9 +1,10 @@
-"""One upstream at its home: ledger, phase and what was heard of it.
+"""Home of one upstream: its ledger of reservations, phase and last report.
 
-A home that takes over may not grant at once.  It waits until the former
-home can grant no more, asks living entries what they hold, and compares that
-with what the engine holds.  Without this the engine's memory would be given
-out a second time, or stay held for requests whose entry is gone.
+A new home does not grant reservations at once.  It waits until the former
+home can no longer grant, requests from the reachable entries the reservations
+they hold, and reconciles these with the memory that the engine holds.
+Without this, memory of the engine could be reserved twice, or stay held for
+requests whose entry no longer exists.
 """
 
 from dataclasses import dataclass, replace
@@ -14,13 +15,16 @@
 from currantdeal.policy import Ask, Ledger, LedgerLimits, LedgerRefusal
 from currantdeal.ports import Grant
 
-CLOSED_RETRY_S = 0.5
+PAUSED_RETRY_S = 0.5
 MIN_ORPHAN_AGE_S = 0.3
-"""Younger memory may belong to a request whose release is on its way."""
+"""Age from which engine memory without a reservation is an orphan.
+
+Younger memory may belong to a request whose release is in transit.
+"""
 
 
 class Phase(str, Enum):
-    """How far a home has come."""
+    """Phase of a home, from the takeover to the handover."""
 
     WAITING = "waiting"
     RECONCILING = "reconciling"
@@ -30,46 +34,47 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Orphan:
-    """Engine memory that is held for nobody."""
+    """Engine memory held for a request without a reservation."""
 
     request_id: RequestId
 
 
 class UpstreamHome:
-    """An upstream whose ledger is kept here.
+    """State of an upstream whose home is this instance.
 
     Parameters
     ----------
     upstream : Upstream
-        As last announced.
+        Last announcement of the upstream.
     fence : FencingNumber
-        Under which this instance became its home.
+        Fencing number under which this instance became the home.
     instance : InstanceId
         This instance.
     output_gap_s : float
-        Longest time between outputs that decoding should keep, in seconds.
+        Target for the longest time between two outputs of a stream, in
+        seconds.
     now_s : float
         Monotonic time, in seconds.
     """
 
     def __init__(self, *, upstream, fence, instance, output_gap_s, now_s):
-        """Start with an empty ledger, before reconciliation."""
+        """Start in phase ``WAITING`` with an empty ledger."""
         self._upstream = upstream
         self._fence = FencingNumber(fence)
         self._instance = InstanceId(instance)
         self._output_gap_s = output_gap_s
         self._phase = Phase.WAITING
-        self._closed = False
+        self._paused = False
         self._present = True
-        self._heard_s = now_s
+        self._last_renewal_s = now_s
         self._load = None
-        self._rate = 0.0
+        self._prefill_rate = 0.0
         self._granted_s = {}
         self._ledger = self._new_ledger()
 
     @property
     def upstream(self):
-        """The upstream as last announced."""
+        """Last announcement of the upstream."""
         return self._upstream
 
     @property
@@ -79,84 +84,93 @@
 
     @property
     def phase(self):
-        """How far the home has come."""
+        """Phase of the home."""
         return self._phase
 
     @property
     def load(self):
-        """The last load report, or None."""
+        """Last load report, or None."""
         return self._load
 
     @property
-    def heard_s(self):
-        """Monotonic time of the last renewal."""
-        return self._heard_s
+    def last_renewal_s(self):
+        """Monotonic time of the last renewal by the upstream."""
+        return self._last_renewal_s
 
     @property
     def grants(self):
-        """Grants in force, as the ledger keeps them."""
+        """Grants in force, as ``LedgerGrant`` objects."""
         return self._ledger.grants
 
     @property
     def idle(self):
-        """True when nothing is granted."""
+        """Whether no grant is in force."""
         return not self._ledger.grants
 
     def advance(self, phase):
-        """Go on to a phase."""
+        """Change to a phase."""
         self._phase = phase
 
-    def close(self, closed):
-        """Stop or resume granting, for an order that needs idleness."""
-        self._closed = closed
+    def close(self, paused):
+        """Pause or resume granting, for an order that needs an idle engine.
+
+        Parameters
+        ----------
+        paused : bool
+            True to refuse reservations, False to grant them again.
+        """
+        self._paused = paused
 
-    def follow(self, record, now_s):
-        """Take in what the replicated state says of the upstream."""
+    def apply_record(self, record, now_s):
+        """Apply the upstream's record in the replicated state."""
         returned = record.present and not self._present
         self._present = record.present
         if returned:
-            self._heard_s = now_s
+            self._last_renewal_s = now_s
         if record.upstream == self._upstream:
             return
         restarted = record.upstream.incarnation != self._upstream.incarnation
         self._upstream = record.upstream
-        self._heard_s = now_s
+        self._last_renewal_s = now_s
         if restarted:
-            # A new process of the engine holds nothing of the former one.
-            self._rate = 0.0
+            # A restarted engine holds no memory of its former process.
+            self._prefill_rate = 0.0
             self._granted_s = {}
             self._ledger = self._new_ledger()
 
-    def hear(self, report, now_s):
-        """Take in a renewal; return whether it is of this incarnation."""
+    def record_report(self, report, now_s):
+        """Record a renewal; return whether it was accepted.
+
+        A report of another incarnation than the announced one is ignored.
+        """
         if report.incarnation != self._upstream.incarnation:
             return False
-        self._heard_s = now_s
+        self._last_renewal_s = now_s
         self._load = report
-        if report.prefill_tokens_per_s > 0 and not self._rate:
-            self._rate = report.prefill_tokens_per_s
+        if report.prefill_tokens_per_s > 0 and not self._prefill_rate:
+            self._prefill_rate = report.prefill_tokens_per_s
             self._rebuild_ledger(now_s)
         self._ledger.hear(running=report.running, step_s=report.step_s)
         return True
 
-    def excuse(self, now_s):
-        """Count the upstream as heard now, after a pause of this process."""
-        self._heard_s = now_s
+    def reset_timeout(self, now_s):
+        """Restart the renewal timeout, after a pause of this process."""
+        self._last_renewal_s = now_s
 
     def reserve(self, request, now_s):
         """Return a ``Grant`` or a ``HomeRefusal``."""
         if self._phase is not Phase.OPEN:
             return HomeRefusal(message="the home is changing", moving=True)
-        if self._closed:
+        if self._paused:
             return HomeRefusal(
                 message="an order waits for running work to finish",
-                retry_after_s=CLOSED_RETRY_S,
+                retry_after_s=PAUSED_RETRY_S,
             )
-        given = self._ledger.reserve(_ask_of(request), now_s=now_s)
-        if isinstance(given, LedgerRefusal):
+        outcome = self._ledger.reserve(_ask_of(request), now_s=now_s)
+        if isinstance(outcome, LedgerRefusal):
             return HomeRefusal(
                 message="the upstream is full",
-                retry_after_s=given.retry_after_s,
+                retry_after_s=outcome.retry_after_s,
             )
         self._granted_s.setdefault(request.request_id, now_s)
         return Grant(
@@ -168,18 +182,19 @@
             upstream_id=self._upstream.upstream_id,
             home=self._instance,
             fence=self._fence,
-            start_in_s=given.start_in_s,
+            start_in_s=outcome.start_in_s,
         )
 
     def grow(self, request_id, pieces):
-        """Return whether a grant was enlarged."""
+        """Add pieces to a grant; return whether they were granted."""
         return self._ledger.grow(request_id, pieces=pieces)
 
-    def give_up_victim(self):
-        """Release and return the request to cancel so that others go on.
+    def release_victim(self):
+        """Resolve a deadlock: release one request and return its id, or None.
 
-        When every stream on the engine waits for memory none will ever end;
-        one would notice by streams that stop together in the middle.
+        When every stream on the engine waits for memory, none of them ends
+        and all stop producing output.  The returned request has to be
+        cancelled on the engine.
         """
         victim = self._ledger.victim()
         if victim is not None:
@@ -187,31 +202,37 @@
         return victim
 
     def release(self, request_id):
-        """Take a grant back."""
+        """Release a grant."""
         self._granted_s.pop(request_id, None)
         self._ledger.release(request_id)
 
     def adopt(self, claimed, now_s):
-        """Take in what an entry claims to hold."""
+        """Add a reservation that an entry claims to hold to the ledger."""
         ask = replace(_ask_of(claimed.request), pieces=claimed.pieces)
         if ask.request_id not in self._granted_s:
             self._granted_s[ask.request_id] = now_s
             self._ledger.adopt(ask, now_s=now_s)
 
     def drop_entry(self, entry):
-        """Release all grants of an entry; return their request ids."""
-        dropped = self._ledger.drop_entry(entry)
-        names = [grant.ask.request_id for grant in dropped]
+        """Release all grants of an entry and return their request ids."""
+        released = self._ledger.drop_entry(entry)
+        names = [grant.ask.request_id for grant in released]
         for name in names:
             self._granted_s.pop(name, None)
         return names
 
     def granted_before(self, request_id, oldest_s):
-        """Return whether a grant is older than a time."""
+        """Return whether a grant was given before a time."""
         return self._granted_s.get(request_id, oldest_s) < oldest_s
 
     def orphans(self, held):
-        """Return those of the engine's requests that nobody holds."""
+        """Return the memory in ``held`` that has no reservation.
+
+        Parameters
+        ----------
+        held : iterable of HeldMemory
+            Memory that the engine reports as held.
+        """
         return tuple(
             Orphan(request_id=memory.request_id)
             for memory in held
@@ -229,7 +250,7 @@
     def _new_ledger(self):
         limits = LedgerLimits(
             pieces_total=self._upstream.pieces_total,
-            prefill_tokens_per_s=self._rate,
+            prefill_tokens_per_s=self._prefill_rate,
             link_bytes_per_s=self._upstream.link_bytes_per_s,
             output_gap_s=self._output_gap_s,
         )
--- a/currantdeal/membership/home_book.py
+++ b/currantdeal/membership/home_book.py
@@ -1,8 +1,9 @@
-"""All upstreams whose home is this instance, and the entries they serve.
+"""Homes of this instance, and the entries that hold reservations there.
 
-Pure: messages and time go in, and what has to be cancelled on engines comes
-out.  An entry renews all its grants with one heartbeat; when it is silent
-beyond the lease, or has restarted, everything it held is cancelled.
+The state machine does no I/O: it receives messages and the time, and returns
+answers and the requests to cancel on engines.  An entry renews all its grants
+with one heartbeat.  When its heartbeats stop for longer than the lease, or
+when it restarts, its grants are released and its requests cancelled.
 """
 
 from dataclasses import dataclass, replace
@@ -17,24 +18,24 @@
 )
 from currantdeal.membership.load_wire import decode_loads, encode_loads
 
-UNLISTED_AGE_S = 1.0
-"""Age at which a grant that its entry does not list counts as released.
+UNLISTED_GRACE_S = 1.0
+"""Age from which a grant that its entry does not list is released.
 
-A younger one may have been granted after the entry wrote its list.
+A younger grant may have been given after the entry wrote its list.
 """
 
 
 @dataclass(frozen=True, kw_only=True)
 class Cancel:
-    """A request that has to be cancelled on an engine."""
+    """Request to cancel on the engine of an upstream."""
 
     upstream_id: UpstreamId
     request_id: RequestId
 
 
 @dataclass(frozen=True, kw_only=True)
-class Silence:
-    """An upstream that has not renewed for too long."""
+class UnresponsiveUpstream:
+    """Upstream whose renewals timed out."""
 
     upstream_id: UpstreamId
     incarnation: int
@@ -43,23 +44,25 @@
 @dataclass(frozen=True, kw_only=True)
 class _Entry:
     process: int
-    beat_s: float
-    differed: bool = False
+    last_heartbeat_s: float
+    digest_differed: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class BookLimits:
-    """Silences in seconds after which others are given up.
+    """Timeouts of a home, in seconds.
 
     Parameters
     ----------
     entry_silence_s : float
-        Of an entry; everything it held is cancelled.
+        Time without a heartbeat after which the requests of an entry are
+        cancelled.
     upstream_silence_s : float
-        Of an upstream; it is retired.
+        Time without a renewal after which an upstream is retired.
     pause_s : float
-        Of this process itself, after which it judges nobody by the silence
-        it did not listen to.
+        Time between two checks beyond which this process is assumed to
+        have been paused.  It may have missed messages during the pause, so
+        all timeouts restart.
     """
 
     entry_silence_s: float = 2.0
@@ -75,9 +78,10 @@
     instance : InstanceId
         This instance.
     output_gap_s : float
-        Longest time between outputs that decoding should keep, in seconds.
+        Target for the longest time between two outputs of a stream, in
+        seconds.
     limits : BookLimits
-        When others are given up.
+        Timeouts of entries and upstreams.
     now_s : float
         Monotonic time, in seconds.
     """
@@ -91,15 +95,15 @@
         self._entries = {}
         self._load_number = 0
         self._load_numbers = {}
-        self._checked_s = now_s
+        self._last_check_s = now_s
 
     @property
     def fences(self):
-        """Fencing numbers of the homes that are kept, by upstream.
+        """Fencing numbers by upstream, without homes being handed over.
 
-        One that is being given away is left out: if the other instance does
-        not become home, it is taken again under a new fencing number, so
-        that a late commit of the move changes nothing.
+        If the other instance does not become the home, this one takes it
+        over again under a new fencing number, so that a late commit of the
+        handover has no effect.
         """
         return {
             name: home.fence
@@ -108,7 +112,7 @@
         }
 
     def homes(self, phase=None):
-        """Return the homes, or only those of one phase."""
+        """Return the homes, or only those in one phase."""
         return tuple(
             home
             for home in self._homes.values()
@@ -116,14 +120,14 @@
         )
 
     def get(self, upstream_id, fence=None):
-        """Return one home, or None if it is not here or of that fence."""
+        """Return a home, or None if it is elsewhere or its fence differs."""
         home = self._homes.get(upstream_id)
         if home is not None and fence not in (None, home.fence):
             return None
         return home
 
     def take(self, upstream, fence, now_s):
-        """Become home of an upstream."""
+        """Create the home of an upstream on this instance."""
         home = UpstreamHome(
             upstream=upstream,
             fence=fence,
@@ -135,151 +139,172 @@
         return home
 
     def follow(self, state, now_s):
-        """Drop homes that others have taken, and take in announcements."""
+        """Apply the replicated state.
+
+        Removes homes that were assigned elsewhere, and updates the records
+        of the upstreams.
+        """
         for name, home in list(self._homes.items()):
-            agreed = state.homes.get(name)
-            if agreed is None or agreed.fence != home.fence:
-                if agreed is None or agreed.fence > home.fence:
+            committed = state.homes.get(name)
+            if committed is None or committed.fence != home.fence:
+                if committed is None or committed.fence > home.fence:
                     del self._homes[name]
                 continue
-            home.follow(state.upstreams[name], now_s)
+            home.apply_record(state.upstreams[name], now_s)
 
     def reserve(self, call, now_s):
-        """Return a ``Grant`` or a ``HomeRefusal``, and what to cancel."""
+        """Return a ``Grant`` or ``HomeRefusal``, and requests to cancel."""
         home = self._homes.get(call.request.upstream_id)
         if home is None:
             return HomeRefusal(message="not the home", moving=True), ()
-        if not self._is_latest(call.request.entry, call.process):
+        if not self._is_current_process(call.request.entry, call.process):
             return HomeRefusal(message="the entry has restarted"), ()
-        cancels = self._meet(call.request.entry, call.process, now_s)
+        cancels = self._register_entry(call.request.entry, call.process, now_s)
         return home.reserve(call.request, now_s), cancels
 
     def grow(self, call):
-        """Return whether a grant was enlarged, and what to cancel."""
+        """Add pieces to a grant.
+
+        Returns
+        -------
+        tuple of (bool, tuple of Cancel)
+            Whether the pieces were granted, and the requests to cancel.
+        """
         home = self._homes.get(call.upstream_id)
         if home is None:
             return False, ()
         if home.grow(call.request_id, call.pieces):
             return True, ()
-        victim = home.give_up_victim()
+        victim = home.release_victim()
         if victim is None:
             return False, ()
         return False, (_cancel(call.upstream_id, victim),)
 
     def adopt(self, upstream_id, answer, now_s):
-        """Take in what an entry claims of an upstream."""
+        """Add the reservations that an entry claims to the ledger."""
         home = self._homes.get(upstream_id)
         if home is None:
             return
-        if not self._is_latest(answer.entry, answer.process):
+        if not self._is_current_process(answer.entry, answer.process):
             return
-        self._meet(answer.entry, answer.process, now_s)
+        self._register_entry(answer.entry, answer.process, now_s)
         for claimed in answer.claimed:
             home.adopt(claimed, now_s)
 
-    def sync(self, beat, now_s):
-        """Return the answer to an entry's heartbeat, and what to cancel."""
-        cancels = self._renew(beat, now_s)
-        for key in beat.released:
+    def sync(self, heartbeat, now_s):
+        """Return the answer to a heartbeat, and the requests to cancel."""
+        cancels = self._record_heartbeat(heartbeat, now_s)
+        for key in heartbeat.released:
             home = self._homes.get(key.upstream_id)
             if home is not None:
                 home.release(key.request_id)
-        for report in decode_loads(beat.reports):
+        for report in decode_loads(heartbeat.reports):
             self.hear(report, now_s)
         lost = ()
-        if beat.held is not None:
-            lost = self._lost(beat)
-            cancels += self._drop_unlisted(beat, now_s)
+        if heartbeat.held is not None:
+            lost = self._lost_reservations(heartbeat)
+            cancels += self._release_unlisted(heartbeat, now_s)
         answer = SyncAnswer(
-            loads=encode_loads(self._loads_after(beat.loads_after)),
+            loads=encode_loads(self._loads_after(heartbeat.loads_after)),
             loads_after=self._load_number,
-            list_wanted=self._list_wanted(beat),
+            list_wanted=self._list_wanted(heartbeat),
             lost=lost,
         )
         return answer, cancels
 
     def hear(self, report, now_s):
-        """Take in an upstream's renewal."""
+        """Record the load report with which an upstream renews."""
         home = self._homes.get(report.upstream_id)
         before = home.load if home else None
-        if home is None or not home.hear(report, now_s) or report == before:
+        if (
+            home is None
+            or not home.record_report(report, now_s)
+            or report == before
+        ):
             return
         self._load_number += 1
         self._load_numbers[report.upstream_id] = self._load_number
 
     def excuse_if_paused(self, now_s, *, listening):
-        """Judge nobody by a time in which this process did not listen.
+        """Restart all timeouts after a pause or without a lease.
 
         Parameters
         ----------
         listening : bool
-            False while this instance holds no lease.  It cannot tell then
-            whether others were silent or it was cut off itself; cancelling
-            on that ground would cut off requests that are well.
+            False while this instance holds no lease.  It cannot distinguish
+            unreachable entries and upstreams from its own isolation then,
+            and cancelling would end requests that still run.
         """
-        paused = now_s - self._checked_s > self._limits.pause_s
-        self._checked_s = now_s
+        paused = now_s - self._last_check_s > self._limits.pause_s
+        self._last_check_s = now_s
         if listening and not paused:
             return
         for name, entry in self._entries.items():
-            self._entries[name] = replace(entry, beat_s=now_s)
+            self._entries[name] = replace(entry, last_heartbeat_s=now_s)
         for home in self._homes.values():
-            home.excuse(now_s)
+            home.reset_timeout(now_s)
 
     def silent_entries(self, now_s):
-        """Drop entries that are silent; return what to cancel."""
+        """Remove entries that timed out; return the requests to cancel."""
         oldest_s = now_s - self._limits.entry_silence_s
         cancels = ()
         for name, entry in list(self._entries.items()):
-            if entry.beat_s < oldest_s:
+            if entry.last_heartbeat_s < oldest_s:
                 del self._entries[name]
                 cancels += self._drop_entry(name)
         return cancels
 
     def silent_upstreams(self, now_s):
-        """Return the upstreams that are to be retired."""
+        """Return the upstreams that timed out and have to be retired."""
         oldest_s = now_s - self._limits.upstream_silence_s
         return tuple(
-            Silence(
+            UnresponsiveUpstream(
                 upstream_id=home.upstream.upstream_id,
                 incarnation=home.upstream.incarnation,
             )
             for home in self.homes(Phase.OPEN)
-            if home.heard_s < oldest_s
+            if home.last_renewal_s < oldest_s
         )
 
-    def _renew(self, beat, now_s):
-        if not self._is_latest(beat.entry, beat.process):
+    def _record_heartbeat(self, heartbeat, now_s):
+        if not self._is_current_process(heartbeat.entry, heartbeat.process):
             return ()
-        cancels = self._meet(beat.entry, beat.process, now_s)
-        known = self._entries[beat.entry]
-        self._entries[beat.entry] = replace(known, beat_s=now_s)
+        cancels = self._register_entry(
+            heartbeat.entry, heartbeat.process, now_s
+        )
+        current = self._entries[heartbeat.entry]
+        self._entries[heartbeat.entry] = replace(
+            current, last_heartbeat_s=now_s
+        )
         return cancels
 
-    def _is_latest(self, entry, process):
-        known = self._entries.get(entry)
-        return known is None or known.process <= process
+    def _is_current_process(self, entry, process):
+        current = self._entries.get(entry)
+        return current is None or current.process <= process
 
-    def _meet(self, entry, process, now_s):
-        known = self._entries.get(entry)
-        if known is not None and known.process == process:
+    def _register_entry(self, entry, process, now_s):
+        current = self._entries.get(entry)
+        if current is not None and current.process == process:
             return ()
-        self._entries[entry] = _Entry(process=process, beat_s=now_s)
-        # The entry has restarted; its former process, and with it the
-        # callers' connections, are gone.
-        return self._drop_entry(entry) if known is not None else ()
-
-    def _list_wanted(self, beat):
-        kept = digest_of(self._keys_of(beat.entry))
-        differs = kept != beat.claims
-        known = self._entries.get(beat.entry)
-        if known is None:
+        self._entries[entry] = _Entry(process=process, last_heartbeat_s=now_s)
+        # The entry has restarted, so the callers' connections to its former
+        # process no longer exist.
+        return self._drop_entry(entry) if current is not None else ()
+
+    def _list_wanted(self, heartbeat):
+        ledger_digest = digest_of(self._reservation_keys(heartbeat.entry))
+        digest_differs = ledger_digest != heartbeat.claims
+        current = self._entries.get(heartbeat.entry)
+        if current is None:
             return False
-        self._entries[beat.entry] = replace(known, differed=differs)
-        # Reservations under way make the two differ for a moment.
-        return differs and known.differed
+        self._entries[heartbeat.entry] = replace(
+            current, digest_differed=digest_differs
+        )
+        # Reservations in transit make the digests differ briefly, so only a
+        # second difference in a row counts.
+        return digest_differs and current.digest_differed
 
-    def _keys_of(self, entry):
+    def _reservation_keys(self, entry):
         return [
             (home.upstream.upstream_id, grant.ask.request_id)
             for home in self._homes.values()
@@ -287,12 +312,12 @@
             if grant.ask.entry == entry
         ]
 
-    def _lost(self, beat):
-        kept = set(self._keys_of(beat.entry))
+    def _lost_reservations(self, heartbeat):
+        in_ledger = set(self._reservation_keys(heartbeat.entry))
         return tuple(
             key
-            for key in beat.held
-            if (key.upstream_id, key.request_id) not in kept
+            for key in heartbeat.held
+            if (key.upstream_id, key.request_id) not in in_ledger
             and self._is_open(key.upstream_id)
         )
 
@@ -300,14 +325,14 @@
         home = self._homes.get(upstream_id)
         return home is not None and home.phase is Phase.OPEN
 
-    def _drop_unlisted(self, beat, now_s):
-        listed = set(beat.held)
+    def _release_unlisted(self, heartbeat, now_s):
+        listed = set(heartbeat.held)
         cancels = ()
-        for upstream_id, request_id in self._keys_of(beat.entry):
+        for upstream_id, request_id in self._reservation_keys(heartbeat.entry):
             key = HeldKey(upstream_id=upstream_id, request_id=request_id)
             home = self._homes[upstream_id]
             if key not in listed and home.granted_before(
-                request_id, now_s - UNLISTED_AGE_S
+                request_id, now_s - UNLISTED_GRACE_S
             ):
                 home.release(request_id)
                 cancels += (_cancel(upstream_id, request_id),)
@@ -322,7 +347,7 @@
 
     def _loads_after(self, number):
         if number > self._load_number:
-            # The entry counts by this instance's former process.
+            # The number comes from the former process of this instance.
             number = 0
         return tuple(
             self._homes[name].load
--- a/currantdeal/membership/home_messages.py
+++ b/currantdeal/membership/home_messages.py
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReserveCall:
-    """An entry asks for a reservation.
+    """Request of an entry for a reservation.
 
     Parameters
     ----------
     process : int
-        Start of the entry's process, which tells it from an earlier one.
+        Start of the entry's process; distinguishes it from earlier ones.
     """
 
     process: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GrowCall:
-    """An entry asks for more memory under a grant."""
+    """Request of an entry for more memory under a grant."""
 
     upstream_id: UpstreamId
     request_id: RequestId
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HomeRefusal:
-    """The home did not reserve.
+    """Refusal of a reservation by a home.
 
     Parameters
     ----------
     moving : bool
-        True when the home is changing, so that asking again shortly helps.
+        True while the home changes; a retry shortly after may succeed.
     """
 
     message: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeldKey:
-    """Names one reservation."""
+    """Key of a reservation."""
 
     upstream_id: UpstreamId
     request_id: RequestId
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Claims:
-    """Digest of the reservations that an entry holds at a home."""
+    """Number and digest of the reservations of an entry at a home."""
 
     count: int = 0
     digest: int = 0
@@ -74,16 +74,16 @@
     Parameters
     ----------
     claims : Claims
-        Digest of what the entry holds there.
+        Digest of the entry's reservations at this home.
     held : tuple of HeldKey or None
-        The list itself, if the home has asked for it.
+        List of these reservations, if the home has requested it.
     released : tuple of HeldKey
-        Reservations given back since the last heartbeat.
+        Reservations released since the last heartbeat.
     reports : bytes
-        Renewals of upstreams that came in at this entry, by
+        Renewals that this entry received from upstreams, encoded by
         ``encode_loads``.
     loads_after : int
-        Number of the last load that the entry has from this home.
+        Number of the last load that the entry received from this home.
     """
 
     entry: InstanceId
@@ -102,14 +102,15 @@
     Parameters
     ----------
     loads : bytes
-        Loads that changed after the number that the entry told, by
+        Loads that changed after the number in the heartbeat, encoded by
         ``encode_loads``.
     loads_after : int
         Number of the last load in this answer.
     list_wanted : bool
-        True when the digest differs from the ledger.
+        True if the digest differs from the ledger, so that the next
+        heartbeat should include the list.
     lost : tuple of HeldKey
-        Reservations that the entry listed and the home does not keep.
+        Reservations in the entry's list that are not in the ledger.
     """
 
     loads: bytes = b""
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimsCall:
-    """A new home asks what an entry holds of an upstream."""
+    """Request of a new home for an entry's reservations on an upstream."""
 
     upstream_id: UpstreamId
     home: InstanceId
@@ -129,7 +130,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimedGrant:
-    """A reservation that an entry claims to hold."""
+    """Reservation that an entry claims to hold."""
 
     request: ReservationRequest
     pieces: int
@@ -137,7 +138,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimsAnswer:
-    """What an entry holds of the upstream."""
+    """Reservations of an entry on the upstream."""
 
     entry: InstanceId
     process: int
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PassedReports:
-    """Load reports whose sender cannot reach their home itself."""
+    """Load reports forwarded for a sender that cannot reach their home."""
 
     reports: tuple[LoadReport, ...]
 
--- a/currantdeal/membership/home_plan.py
+++ b/currantdeal/membership/home_plan.py
@@ -1,10 +1,11 @@
-"""Which homes an instance should take or give away.
-
-A home stays where it is while its instance lives, because every move costs a
-reconciliation with the engine.  It moves when its instance is gone or
-drains, and, one at a time, to the instance that rendezvous hashing chooses
-when that one has been there for a while; without the last rule, a rolling
-restart would leave all homes with the instance that restarted last.
+"""Plan of the homes that an instance takes over or hands over.
+
+A home stays on its instance while that is alive, because every move requires
+a reconciliation with the engine.  It moves when its instance fails or
+drains.  It also moves to the instance that rendezvous hashing chooses, one
+home at a time, once that instance has been alive for some time.  Without this
+rebalancing, a rolling restart would leave all homes on the instance that
+restarted last.
 """
 
 from dataclasses import dataclass
@@ -16,14 +17,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TakeHome:
-    """Become home of an upstream.
+    """Move of an upstream's home to this instance.
 
     Parameters
     ----------
     expected_fence : FencingNumber
-        Of the home that is replaced; 0 if there is none.
+        Fencing number of the home that is replaced; 0 if there is none.
     former : InstanceId
-        Whose lease has to run out first; empty if nobody else may grant.
+        Instance whose lease has to expire first; empty if no other instance
+        may grant reservations.
     """
 
     upstream_id: UpstreamId
@@ -33,7 +35,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GiveHome:
-    """Let another instance become home of an upstream."""
+    """Move of an upstream's home from this instance to another one.
+
+    Parameters
+    ----------
+    expected_fence : FencingNumber
+        Fencing number of the home on this instance.
+    to : InstanceId
+        Instance that becomes the home.
+    """
 
     upstream_id: UpstreamId
     expected_fence: FencingNumber
@@ -42,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Surroundings:
-    """What a plan depends on.
+    """Membership on which a plan of homes is based.
 
     Parameters
     ----------
@@ -51,11 +61,11 @@
     members : tuple of Member
         All known instances.
     draining : frozenset of InstanceId
-        Instances that drain, this one included if it does.
+        Draining instances, possibly including this one.
     settled : frozenset of InstanceId
-        Instances that have been alive long enough to be given a home.
+        Instances that have been alive long enough to receive a home.
     absent : frozenset of InstanceId
-        Instances that have been gone long enough to be replaced.
+        Instances that have been unavailable long enough to lose their homes.
     """
 
     me: InstanceId
@@ -65,60 +75,60 @@
     absent: frozenset = frozenset()
 
 
-def plan_homes(state, mine, around):
-    """Return the moves that this instance should propose.
+def plan_homes(state, own_fences, context):
+    """Return the moves of homes that this instance should propose.
 
     Parameters
     ----------
     state : ClusterState
-        The replicated state.
-    mine : dict of UpstreamId to FencingNumber
-        Homes that this process has taken itself.
-    around : Surroundings
-        Who else is there.
+        Replicated state.
+    own_fences : dict of UpstreamId to FencingNumber
+        Fencing numbers of the homes that this process has taken over.
+    context : Surroundings
+        Membership on which the plan is based.
     """
     moves = []
     for name in sorted(state.upstreams):
         record = state.upstreams[name]
         home = state.homes.get(name)
-        if record.present or (home and home.instance == around.me):
-            moves.append(_plan(record.upstream, home, mine, around))
-    found = [move for move in moves if move is not None]
-    return _at_most_one_rebalance(found, around)
+        if record.present or (home and home.instance == context.me):
+            moves.append(_plan(record.upstream, home, own_fences, context))
+    planned = [move for move in moves if move is not None]
+    return _at_most_one_rebalance(planned, context)
 
 
 class HomePlanner:
-    """Plans anew only when something has changed that a plan depends on.
+    """Cache of the plan of homes until one of its inputs changes.
 
-    Load pattern: a tick several times a second, and changes of membership
-    or homes some hundred times a day.  Hashing every upstream against every
-    candidate on each tick would cost more than all other control together;
-    loads, which change all the time, do not count.
+    Load pattern: several ticks per second, and changes of membership or
+    homes a few hundred times a day.  Hashing every upstream against every
+    candidate on each tick would cost more than all other control work
+    together.  The loads of members change continuously and are not an input.
     """
 
     def __init__(self):
-        """Start without a plan."""
-        self._known = None
+        """Start without a cached plan."""
+        self._inputs = None
         self._moves = []
 
-    def plan(self, state, mine, around):
-        """Return the moves of ``plan_homes``."""
-        known = (
+    def plan(self, state, own_fences, context):
+        """Return the result of ``plan_homes``, cached if still valid."""
+        inputs = (
             state.upstreams,
             state.homes,
-            dict(mine),
-            around.draining,
-            around.settled,
-            around.absent,
-            tuple(_placed(member) for member in around.members),
+            dict(own_fences),
+            context.draining,
+            context.settled,
+            context.absent,
+            tuple(_placement_key(member) for member in context.members),
         )
-        if known != self._known:
-            self._known = known
-            self._moves = plan_homes(state, mine, around)
+        if inputs != self._inputs:
+            self._inputs = inputs
+            self._moves = plan_homes(state, own_fences, context)
         return self._moves
 
 
-def _placed(member):
+def _placement_key(member):
     return (
         member.instance,
         member.status,
@@ -128,16 +138,16 @@
     )
 
 
-def _plan(upstream, home, mine, around):
+def _plan(upstream, home, own_fences, context):
     name = upstream.upstream_id
-    wanted = choose_home(upstream, around.members, around.draining)
+    preferred = choose_home(upstream, context.members, context.draining)
     if home is None:
-        if wanted == around.me:
+        if preferred == context.me:
             return TakeHome(upstream_id=name, expected_fence=0)
         return None
-    if home.instance == around.me:
-        return _plan_own(name, home, wanted, mine, around)
-    if wanted == around.me and home.instance in around.absent:
+    if home.instance == context.me:
+        return _plan_own(name, home, preferred, own_fences, context)
+    if preferred == context.me and home.instance in context.absent:
         return TakeHome(
             upstream_id=name,
             expected_fence=home.fence,
@@ -146,47 +156,51 @@
     return None
 
 
-def _plan_own(name, home, wanted, mine, around):
-    leaving = around.me in around.draining
-    if wanted not in (None, around.me) and (
-        leaving or wanted in around.settled
+def _plan_own(name, home, preferred, own_fences, context):
+    is_draining = context.me in context.draining
+    if preferred not in (None, context.me) and (
+        is_draining or preferred in context.settled
     ):
-        return GiveHome(upstream_id=name, expected_fence=home.fence, to=wanted)
-    if mine.get(name) != home.fence and not leaving:
-        # The home was this instance's before it restarted, or was given to
-        # it.  Its ledger is not here, and a new fence keeps anything that
-        # the former process still sends from counting.
+        return GiveHome(
+            upstream_id=name, expected_fence=home.fence, to=preferred
+        )
+    if own_fences.get(name) != home.fence and not is_draining:
+        # This instance was the home before it restarted, or the home was
+        # handed over to it.  The process has no ledger for it, and a new
+        # fence invalidates anything that the former process still sends.
         return TakeHome(upstream_id=name, expected_fence=home.fence)
     return None
 
 
-def _at_most_one_rebalance(moves, around):
-    if around.me in around.draining:
+def _at_most_one_rebalance(moves, context):
+    if context.me in context.draining:
         return moves
-    given = [move for move in moves if isinstance(move, GiveHome)]
-    return [move for move in moves if move not in given[1:]]
+    handovers = [move for move in moves if isinstance(move, GiveHome)]
+    return [move for move in moves if move not in handovers[1:]]
 
 
 class Presence:
-    """How long each instance has been there, or been gone.
+    """Time for which each instance has been alive or unavailable.
 
     Parameters
     ----------
     settle_s : float
-        Time alive after which an instance may be given a home.
+        Time alive after which an instance may receive a home.
     absence_s : float
-        Time for which an instance that was seen alive has to be suspected
-        or gone until its homes are taken.  They are taken before it is
-        declared dead: its lease keeps a living one's homes exclusive
-        anyway, and each second counts for the callers of its upstreams.
+        Time after which the homes of an instance that was alive and is now
+        suspected or unavailable are taken over.  This is shorter than the
+        time until it is declared dead: if it is still alive, its lease keeps
+        its homes exclusive, and each second delays the callers of its
+        upstreams.
     unseen_s : float
-        The same for an instance that was never seen, from the start.
+        Time from the start of this process after which the homes of an
+        instance that was never in the member table are taken over.
     now_s : float
-        Monotonic time of the start.
+        Monotonic start time, in seconds.
     """
 
     def __init__(self, *, settle_s, absence_s, unseen_s, now_s):
-        """Start without having seen anybody."""
+        """Start without observations."""
         self._settle_s = settle_s
         self._absence_s = absence_s
         self._unseen_s = unseen_s
@@ -195,7 +209,7 @@
         self._alive = {}
 
     def observe(self, members, now_s):
-        """Take in the membership at a time."""
+        """Record the membership at a time."""
         alive = {m.instance: _is_alive(m) for m in members}
         for name in self._alive.keys() | alive.keys():
             present = alive.get(name, False)
@@ -204,7 +218,7 @@
                 self._since_s[name] = now_s
 
     def settled(self, now_s):
-        """Return the instances that may be given a home."""
+        """Return the instances that may receive a home."""
         return frozenset(
             name
             for name, alive in self._alive.items()
@@ -212,15 +226,15 @@
         )
 
     def absent(self, names, now_s):
-        """Return those of some instances that are gone for good."""
+        """Return those of ``names`` whose homes may be taken over."""
         return frozenset(
             name
             for name in names
             if not self._alive.get(name, False)
-            and now_s >= self._gone_since_s(name)
+            and now_s >= self._absent_from_s(name)
         )
 
-    def _gone_since_s(self, name):
+    def _absent_from_s(self, name):
         if name in self._alive:
             return self._since_s[name] + self._absence_s
         return self._started_s + self._unseen_s
--- a/currantdeal/membership/load_wire.py
+++ b/currantdeal/membership/load_wire.py
@@ -1,9 +1,9 @@
-"""Load reports between instances, as small as they can be.
+"""Compact encoding of load reports between instances.
 
-Loads are most of the control traffic: every upstream renews twice a second,
-and its home tells the load to the entries that deal with it.  Written with
-field names, a report takes some 190 bytes; as an array, with times in whole
-microseconds, about 40.
+Load pattern: load reports are most of the control traffic.  Every upstream
+renews twice a second, and its home forwards the load to the entries that use
+the upstream.  With field names, a report takes about 190 bytes; as an array,
+with times in whole microseconds, it takes about 40.
 """
 
 import msgspec
@@ -11,7 +11,7 @@
 from currantdeal.core import LoadReport
 from currantdeal.membership.errors import WireError
 
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
 
 
 class _Row(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
@@ -31,7 +31,7 @@
 
 
 def encode_loads(reports):
-    """Return the bytes of some load reports.
+    """Return the encoded load reports.
 
     Examples
     --------
@@ -41,26 +41,26 @@
     >>> decode_loads(encode_loads([report])) == (report,)
     True
     """
-    return _ENCODER.encode([_row_of(report) for report in reports])
+    return _ENCODER.encode([_to_row(report) for report in reports])
 
 
 def decode_loads(raw):
-    """Return the load reports that the bytes hold.
+    """Return the load reports in ``raw``.
 
     Raises
     ------
     WireError
-        If they hold none.
+        If the bytes are not load reports.
     """
     if not raw:
         return ()
     try:
-        return tuple(_report_of(row) for row in _DECODER.decode(raw))
+        return tuple(_to_report(row) for row in _DECODER.decode(raw))
     except msgspec.MsgspecError as exc:
-        raise WireError(f"not load reports: {exc}") from exc
+        raise WireError(f"cannot decode load reports: {exc}") from exc
 
 
-def _row_of(report):
+def _to_row(report):
     return _Row(
         upstream_id=report.upstream_id,
         incarnation=report.incarnation,
@@ -68,13 +68,13 @@
         queued=report.queued,
         queued_tokens=report.queued_tokens,
         pieces_free=report.pieces_free,
-        step_us=round(report.step_s * MICROSECONDS),
+        step_us=round(report.step_s * MICROSECONDS_PER_S),
         prefill_tokens_per_s=round(report.prefill_tokens_per_s),
         cached_prefixes=report.cached_prefixes,
     )
 
 
-def _report_of(row):
+def _to_report(row):
     return LoadReport(
         upstream_id=row.upstream_id,
         incarnation=row.incarnation,
@@ -82,7 +82,7 @@
         queued=row.queued,
         queued_tokens=row.queued_tokens,
         pieces_free=row.pieces_free,
-        step_s=row.step_us / MICROSECONDS,
+        step_s=row.step_us / MICROSECONDS_PER_S,
         prefill_tokens_per_s=float(row.prefill_tokens_per_s),
         cached_prefixes=row.cached_prefixes,
     )
--- a/currantdeal/membership/messages.py
+++ b/currantdeal/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages that instances exchange to find out who is alive."""
+"""Messages of the SWIM protocol between instances."""
 
 from dataclasses import dataclass
 
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ping:
-    """Ask an instance for a sign of life.
+    """Request an acknowledgement from an instance.
 
     Parameters
     ----------
     target : InstanceId
-        Whom the sender means.  An instance that took over the address of a
-        dead one must not answer in its place.
+        Instance that the ping is for.  An instance that reuses the address
+        of a dead one must not acknowledge its pings.
     rumors : tuple of Member
-        News that travels along.
+        Piggybacked membership updates.
     """
 
     seq: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ack:
-    """Answer of ``subject`` to a ping, possibly passed on by the sender."""
+    """Acknowledgement of a ping by ``subject``, possibly forwarded."""
 
     seq: int
     sender: Member
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PingRequest:
-    """Ask an instance to ping a third one and to pass the answer on."""
+    """Request for an indirect ping of a third instance.
+
+    The receiver pings ``target`` and forwards its acknowledgement.
+    """
 
     seq: int
     sender: Member
@@ -47,12 +50,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Exchange:
-    """A part of everything the sender knows.
+    """One part of the sender's member table.
 
     Parameters
     ----------
     reply_wanted : bool
-        True when the receiver should send what it knows in return.
+        True if the receiver should reply with its member table.
     """
 
     sender: Member
@@ -65,14 +68,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Send:
-    """A message to be sent.
+    """Outgoing message.
 
     Parameters
     ----------
     instance : InstanceId
-        Receiver, empty for a seed whose name is not known.
+        Receiver; empty for a seed whose name is unknown.
     address : str
-        Peer address that the receiver told, or the seed's address.
+        Peer address that the receiver advertised, or the seed's address.
     """
 
     instance: InstanceId
--- a/currantdeal/membership/placement.py
+++ b/currantdeal/membership/placement.py
@@ -1,8 +1,8 @@
-"""Which instance should be home of an upstream.
+"""Choice of the home of an upstream by rendezvous hashing.
 
-Rendezvous hashing [1]_ over the live instances of the upstream's data
-center: every instance computes the same choice from its own view, and the
-loss of one instance moves only the upstreams it was home of.
+Rendezvous hashing [1]_ covers the live instances of the upstream's data
+centre.  Every instance computes the same choice from its own view, and the
+loss of an instance moves only the homes on that instance.
 
 References
 ----------
@@ -17,44 +17,44 @@
 
 
 def home_candidates(upstream, members, draining):
-    """Return the instances that may be home, the nearest there are.
+    """Return the nearest instances that may be the home of an upstream.
 
-    Those of the upstream's data center, or else of its region, or else all:
-    the home calls the engine, so it should be near, but any home is better
-    than none.
+    These are the instances in the upstream's data centre, or else in its
+    region, or else all.  The home calls the engine and should be near, but a
+    distant home is better than none.
     """
-    live = [
+    alive = [
         member
         for member in members
         if member.status is MemberStatus.ALIVE
         and not member.draining
         and member.instance not in draining
     ]
-    near = [m for m in live if m.data_center == upstream.data_center]
-    return near or [m for m in live if m.region == upstream.region] or live
+    near = [m for m in alive if m.data_center == upstream.data_center]
+    return near or [m for m in alive if m.region == upstream.region] or alive
 
 
 def choose_home(upstream, members, draining=()):
-    """Return the instance that should be home, or None if there is none.
+    """Return the instance that should be the home, or None if there is none.
 
     Parameters
     ----------
     upstream : Upstream
-        Whose home is sought.
+        Upstream that needs a home.
     members : sequence of Member
         All known instances.
     draining : container of InstanceId
-        Instances that drain by the replicated state.
+        Instances that the replicated state marks as draining.
     """
     candidates = home_candidates(upstream, members, draining)
     if not candidates:
         return None
     return max(
         candidates,
-        key=lambda found: _weight(upstream.upstream_id, found.instance),
+        key=lambda member: _hash_weight(upstream.upstream_id, member.instance),
     ).instance
 
 
-def _weight(upstream_id, instance):
+def _hash_weight(upstream_id, instance):
     key = f"{upstream_id}\0{instance}".encode()
     return xxhash.xxh64_intdigest(key), instance
--- a/currantdeal/membership/probes.py
+++ b/currantdeal/membership/probes.py
@@ -1,7 +1,7 @@
-"""Pings that wait for their answers.
+"""Pending pings and their timeouts.
 
-Load pattern: one ping each period, answered within a round trip.  What waits
-here is bounded by the time a ping may stay unanswered, whatever the number
+Load pattern: one ping per period, acknowledged within a round trip.  The
+ping timeout bounds the number of pending pings, independent of the number
 of instances.
 """
 
@@ -12,25 +12,29 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SwimTiming:
-    """Intervals in seconds.
+    """Intervals and timeouts in seconds, and the fanout of ping requests.
 
     Parameters
     ----------
     probe_s : float
-        Interval between pings; also how long one may stay unanswered.
+        Interval between pings.  A direct ping times out after 0.4 of it, a
+        relayed ping after one and a probe after two intervals.
     suspicion_s : float
-        Time that a suspected instance has to refute.
+        Time that a suspected member has to refute the suspicion.
     rejoin_s : float
-        Interval between pings of an instance that was declared dead.
+        Interval between attempts to rejoin: pings of members that were
+        declared dead, or messages to the seeds without a reachable member.
     exchange_s : float
-        Shortest interval between exchanges of everything known.
+        Shortest interval between exchanges of the whole member table.
     exchange_per_member_s : float
-        What each member adds to that interval, so that the bytes a second
-        stay the same whatever the number of members.
-    forget_s : float
-        How long a dead instance is remembered.
-    helpers : int
-        Instances that are asked to ping one that does not answer.
+        Interval between exchanges per member, where this is longer than
+        ``exchange_s``.  It keeps the bytes per second independent of the
+        number of members.
+    dead_retention_s : float
+        Time for which a dead member stays in the table.
+    fanout : int
+        Number of members that are requested to ping an unresponsive one,
+        or that are notified of a planned stop.
     """
 
     probe_s: float = 0.5
@@ -38,116 +42,122 @@
     rejoin_s: float = 1.0
     exchange_s: float = 5.0
     exchange_per_member_s: float = 0.2
-    forget_s: float = 86_400.0
-    helpers: int = 3
+    dead_retention_s: float = 86_400.0
+    fanout: int = 3
 
     @property
-    def direct_s(self):
-        """Time after which others are asked to ping."""
+    def direct_timeout_s(self):
+        """Time after a direct ping at which indirect pings are requested."""
         return self.probe_s * 0.4
 
 
 @dataclass(frozen=True, kw_only=True)
 class Probe:
-    """A ping of this instance's own.
+    """Pending probe of a member by this instance.
 
     Parameters
     ----------
     seq : int
-        Number of the ping.
+        Sequence number of the ping.
     incarnation : int
-        Of the target when it was pinged; one that has refuted a suspicion
-        or restarted since then is not judged by this ping.
-    ask_others_s, ends_s : float
-        Monotonic times at which others are asked, and the target suspected.
+        Incarnation of the target when it was pinged.  If the target has
+        refuted a suspicion or restarted since then, a timeout of this probe
+        does not make it suspected.
+    indirect_at_s, expires_s : float
+        Monotonic times at which indirect pings are requested, and at which
+        the target is suspected.
     """
 
     seq: int
     target: InstanceId
     incarnation: int
-    ask_others_s: float
-    ends_s: float
+    indirect_at_s: float
+    expires_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Relay:
-    """A ping sent for another instance, which gets the answer."""
+    """Pending ping on behalf of another member.
+
+    The acknowledgement is forwarded to the requester under its sequence
+    number.
+    """
 
     requester: InstanceId
     seq: int
-    ends_s: float
+    expires_s: float
 
 
-class ProbeBook:
-    """Own pings and those sent for others.
+class ProbeTracker:
+    """Pending probes of this instance and pings on behalf of others.
 
     Parameters
     ----------
     timing : SwimTiming
-        How long a ping may stay unanswered.
+        Ping timeouts.
     """
 
     def __init__(self, *, timing):
-        """Start without pings."""
+        """Start without pending pings."""
         self._timing = timing
         self._seq = 0
         self._probes = {}
         self._relays = {}
 
     def next_seq(self):
-        """Return a number for a ping."""
+        """Return the next sequence number."""
         self._seq += 1
         return self._seq
 
-    def probe(self, target, now_s):
-        """Note a ping of a member and return its number."""
+    def add_probe(self, target, now_s):
+        """Record a ping of a member and return its sequence number."""
         seq = self.next_seq()
         self._probes[seq] = Probe(
             seq=seq,
             target=target.instance,
             incarnation=target.incarnation,
-            ask_others_s=now_s + self._timing.direct_s,
-            ends_s=now_s + 2 * self._timing.probe_s,
+            indirect_at_s=now_s + self._timing.direct_timeout_s,
+            expires_s=now_s + 2 * self._timing.probe_s,
         )
         return seq
 
-    def relay(self, requester, requested_seq, now_s):
-        """Note a ping for another instance and return its number."""
+    def add_relay(self, requester, requested_seq, now_s):
+        """Record a ping on behalf of another member; return its number."""
         seq = self.next_seq()
         self._relays[seq] = Relay(
             requester=requester,
             seq=requested_seq,
-            ends_s=now_s + self._timing.probe_s,
+            expires_s=now_s + self._timing.probe_s,
         )
         return seq
 
-    def answered(self, seq, subject):
-        """Take in an answer; return the relay it belongs to, or None."""
+    def acknowledge(self, seq, subject):
+        """Record an acknowledgement; return its relay, or None."""
         probe = self._probes.get(seq)
         if probe is not None and probe.target == subject:
             del self._probes[seq]
         return self._relays.pop(seq, None)
 
-    def to_ask_others(self, now_s):
-        """Return the probes for which others are to be asked now, once."""
-        due = [p for p in self._probes.values() if now_s >= p.ask_others_s]
+    def due_for_indirect(self, now_s):
+        """Return the probes that need indirect pings now, each once."""
+        due = [p for p in self._probes.values() if now_s >= p.indirect_at_s]
         for probe in due:
-            asked = replace(probe, ask_others_s=float("inf"))
-            self._probes[probe.seq] = asked
+            requested = replace(probe, indirect_at_s=float("inf"))
+            self._probes[probe.seq] = requested
         return due
 
-    def unanswered(self, now_s):
-        """Drop and return the probes that came to nothing."""
-        ended = [p for p in self._probes.values() if now_s >= p.ends_s]
-        for probe in ended:
+    def expire(self, now_s):
+        """Remove expired pings and return the probes among them."""
+        expired = [p for p in self._probes.values() if now_s >= p.expires_s]
+        for probe in expired:
             del self._probes[probe.seq]
         self._relays = {
             seq: relay
             for seq, relay in self._relays.items()
-            if now_s < relay.ends_s
+            if now_s < relay.expires_s
         }
-        return ended
+        return expired
 
-    def forget(self):
-        """Drop the own probes, whose answers may wait unread."""
+    def clear_probes(self):
+        """Remove all probes; their acknowledgements may be unread."""
         self._probes = {}
--- a/currantdeal/membership/rumors.py
+++ b/currantdeal/membership/rumors.py
@@ -1,55 +1,60 @@
-"""News that still has to be told, least told first, within a byte budget."""
+"""Queue of membership updates to disseminate by gossip.
+
+The updates that were sent least often are sent first, within a size limit
+per message.
+"""
 
 import math
 
-REPEATS = 3
-"""Tellings of one piece of news, times the logarithm of the group's size.
+RETRANSMIT_MULTIPLIER = 3
+"""Factor of the number of transmissions per update.
 
-Each telling reaches one random member, so with this factor the chance that
-some member is missed is under one in the square of the group's size; full
-exchanges catch the rest.
+It is multiplied by the logarithm of the group size.  Each transmission
+reaches one random member, so with this factor the probability that a
+member is missed is below one over the square of the group size.  Exchanges
+of the whole table cover the remaining cases.
 """
 
 
 class RumorQueue:
-    """Bounded spread of news by piggyback on other messages.
+    """Membership updates to piggyback on other messages.
 
     Parameters
     ----------
     size_of : callable
-        Returns the bytes that a piece of news takes.
+        Returns the encoded size of an update in bytes.
     budget : int
-        Bytes of news that one message may carry.
+        Size limit of the updates on one message, in bytes.
     """
 
     def __init__(self, *, size_of, budget):
-        """Start without news."""
+        """Start with an empty queue."""
         self._size_of = size_of
         self._budget = budget
-        self._told = {}
-        self._news = {}
+        self._transmissions = {}
+        self._rumors = {}
 
     def add(self, member):
-        """Tell this, in place of older news of the same instance."""
-        self._news[member.instance] = member
-        self._told[member.instance] = 0
+        """Queue an update; it replaces an older one of the same member."""
+        self._rumors[member.instance] = member
+        self._transmissions[member.instance] = 0
 
-    def take(self, *, group_size):
-        """Return the news for one message and count it as told."""
-        limit = REPEATS * math.ceil(math.log2(group_size + 1))
+    def next_batch(self, *, group_size):
+        """Return the updates for one message and count a transmission."""
+        limit = RETRANSMIT_MULTIPLIER * math.ceil(math.log2(group_size + 1))
         chosen = []
-        left = self._budget
-        for name in sorted(self._told, key=self._told.get):
-            member = self._news[name]
-            left -= self._size_of(member)
-            if left < 0:
+        remaining = self._budget
+        for name in sorted(self._transmissions, key=self._transmissions.get):
+            member = self._rumors[name]
+            remaining -= self._size_of(member)
+            if remaining < 0:
                 break
             chosen.append(member)
-            self._count(name, limit)
+            self._count_transmission(name, limit)
         return tuple(chosen)
 
-    def _count(self, name, limit):
-        self._told[name] += 1
-        if self._told[name] >= limit:
-            del self._told[name]
-            del self._news[name]
+    def _count_transmission(self, name, limit):
+        self._transmissions[name] += 1
+        if self._transmissions[name] >= limit:
+            del self._transmissions[name]
+            del self._rumors[name]
--- a/currantdeal/membership/table.py
+++ b/currantdeal/membership/table.py
@@ -1,9 +1,10 @@
-"""What one instance believes of the others, and which news is newer.
+"""Member table of one instance, and the precedence of membership updates.
 
-An incarnation number holds the start of the process in its upper bits and a
-counter in its lower ones.  Only the instance itself raises it: by the
-counter when it refutes a suspicion or has news of its own load, by the upper
-bits when it starts again.  So a restarted instance is told from the same one.
+The upper bits of an incarnation number hold the start time of the process,
+the lower bits a counter.  Only the instance itself increases its incarnation
+[1]_: the counter when it refutes a suspicion or changes its own record, such
+as its load, and the upper bits when it restarts.  This distinguishes a
+restarted process from one that has kept running.
 
 References
 ----------
@@ -16,7 +17,7 @@
 
 COUNTER_BITS = 20
 
-_RANKS = {
+_STATUS_RANKS = {
     MemberStatus.ALIVE: 0,
     MemberStatus.SUSPECT: 1,
     MemberStatus.DEAD: 2,
@@ -26,7 +27,7 @@
 
 
 def first_incarnation(wall_s):
-    """Return the first incarnation of a process that starts now.
+    """Return the first incarnation of a process that starts at ``wall_s``.
 
     Parameters
     ----------
@@ -45,103 +46,105 @@
 
 
 def same_process(one, other):
-    """Return whether two incarnations belong to one start of a process."""
+    """Return whether two incarnations belong to the same process."""
     return one >> COUNTER_BITS == other >> COUNTER_BITS
 
 
-def next_incarnation(me, news):
-    """Return an incarnation of ``me`` that overrides news of it."""
-    if news.incarnation > me.incarnation and not same_process(
-        news.incarnation, me.incarnation
+def next_incarnation(me, update):
+    """Return an incarnation of ``me`` that overrides an update about it."""
+    if update.incarnation > me.incarnation and not same_process(
+        update.incarnation, me.incarnation
     ):
-        return ((news.incarnation >> COUNTER_BITS) + 1) << COUNTER_BITS
-    return news.incarnation + 1
+        return ((update.incarnation >> COUNTER_BITS) + 1) << COUNTER_BITS
+    return update.incarnation + 1
 
 
 def is_reachable(member):
-    """Return whether a member is alive or merely suspected."""
+    """Return whether a member is alive or suspected."""
     return member.status in _REACHABLE
 
 
-def is_newer(news, known):
-    """Return whether news of a member overrides what is known of it.
+def is_newer(update, current):
+    """Return whether an update overrides the current record of a member.
 
-    A higher incarnation wins; within one, the worse status does, so that a
-    suspicion spreads and only the suspected instance itself can end it.
+    The higher incarnation takes precedence.  For equal incarnations, the
+    worse status takes precedence, so that a suspicion is disseminated and
+    only the suspected instance can refute it.
     """
-    return _rank(news) > _rank(known)
+    return _rank(update) > _rank(current)
 
 
 class MemberTable:
-    """Latest news of every instance that has been heard of.
+    """Latest record of every known member.
 
     Parameters
     ----------
     me : Member
-        This instance; news of it is never taken from others.
+        Record of this instance; updates about it that were sent by others
+        must not be applied.
     """
 
     def __init__(self, *, me):
-        """Start with this instance alone."""
+        """Start with this instance as the only member."""
         self._me = me.instance
         self._members = {me.instance: me}
-        self._heard_s = {}
+        self._updated_s = {}
         self._version = 0
         self._reachable = []
 
     @property
     def me(self):
-        """The record of this instance."""
+        """Record of this instance."""
         return self._members[self._me]
 
     @property
     def version(self):
-        """Number of changes so far."""
+        """Number of changes to the table so far."""
         return self._version
 
     @property
     def reachable(self):
-        """The other members that are alive or merely suspected."""
+        """Other members that are alive or suspected."""
         return self._reachable
 
     def get(self, instance):
-        """Return what is known of an instance, or None."""
+        """Return the record of an instance, or None if it is unknown."""
         return self._members.get(instance)
 
     def all(self):
         """Return all members, sorted by name."""
         return tuple(self._members[name] for name in sorted(self._members))
 
-    def others(self, wanted):
-        """Return the other members for which ``wanted`` is true."""
+    def others(self, predicate):
+        """Return the other members that satisfy ``predicate``."""
         return [
             member
             for name, member in self._members.items()
-            if name != self._me and wanted(member)
+            if name != self._me and predicate(member)
         ]
 
-    def take(self, news, *, now_s):
-        """Keep news if it is newer; return whether it was."""
-        known = self._members.get(news.instance)
-        if known is not None and not is_newer(news, known):
+    def apply(self, update, *, now_s):
+        """Store an update if it is newer; return whether it was stored."""
+        current = self._members.get(update.instance)
+        if current is not None and not is_newer(update, current):
             return False
-        self._members[news.instance] = news
-        self._heard_s[news.instance] = now_s
-        self._changed()
+        self._members[update.instance] = update
+        self._updated_s[update.instance] = now_s
+        self._record_change()
         return True
 
-    def forget_before(self, oldest_s):
-        """Drop members that were declared dead before a time."""
-        for member in self.others(lambda found: not is_reachable(found)):
-            if self._heard_s[member.instance] < oldest_s:
+    def remove_unreachable_before(self, oldest_s):
+        """Remove dead and departed members last updated before a time."""
+        for member in self.others(lambda m: not is_reachable(m)):
+            if self._updated_s[member.instance] < oldest_s:
                 del self._members[member.instance]
-                del self._heard_s[member.instance]
-                self._changed()
+                del self._updated_s[member.instance]
+                self._record_change()
 
-    def _changed(self):
+    def _record_change(self):
         self._version += 1
         self._reachable = self.others(is_reachable)
 
 
 def _rank(member):
-    return member.incarnation, _RANKS[member.status]
+    return member.incarnation, _STATUS_RANKS[member.status]
--- a/currantdeal/membership/tests/builders.py
+++ b/currantdeal/membership/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for membership."""
+"""Test data and a simulated network for membership tests."""
 
 import random
 
@@ -42,17 +42,17 @@
     return Upstream(**(fields | changes))
 
 
-class Bag:
-    """Several memberships and the datagrams between them."""
+class SimulatedNetwork:
+    """Several ``Swim`` instances and the datagrams between them."""
 
     def __init__(self, *, count, seed=1, loss=0.0):
         self.rng = random.Random(seed)
         self.loss = loss
         self.now_s = 0.0
         self.swims = {}
-        self.cut = set()
+        self.blocked_links = set()
         self.sent_bytes = dict.fromkeys(range(count), 0)
-        self.flying = []
+        self.in_flight = []
         for number in range(count):
             self.start(number)
 
@@ -71,33 +71,33 @@
         del self.swims[number]
 
     def partition(self, one, other):
-        """Lose everything between two groups, both ways."""
-        self.cut = {(a, b) for a in one for b in other}
-        self.cut |= {(b, a) for a, b in self.cut}
+        """Drop all datagrams between two groups, in both directions."""
+        self.blocked_links = {(a, b) for a in one for b in other}
+        self.blocked_links |= {(b, a) for a, b in self.blocked_links}
 
     def run(self, seconds):
         for _ in range(round(seconds / STEP_S)):
             self.step()
 
-    def until(self, wanted, limit_s=60.0):
-        """Run until a condition holds; return how long that took."""
+    def run_until(self, condition, limit_s=60.0):
+        """Run until a condition holds; return the elapsed time."""
         begin_s = self.now_s
-        while not wanted():
+        while not condition():
             self.step()
             assert self.now_s < begin_s + limit_s, "did not come true"
         return self.now_s - begin_s
 
     def step(self):
         self.now_s += STEP_S
-        arriving, self.flying = self.flying, []
-        self.rng.shuffle(arriving)
-        for number, raw in arriving:
+        delivered, self.in_flight = self.in_flight, []
+        self.rng.shuffle(delivered)
+        for number, raw in delivered:
             if number in self.swims:
                 message = decode_message(raw)
                 sends = self.swims[number].receive(message, self.now_s)
-                self._post(number, sends)
+                self._transmit(number, sends)
         for number, swim in list(self.swims.items()):
-            self._post(number, swim.tick(self.now_s))
+            self._transmit(number, swim.tick(self.now_s))
 
     def statuses(self, seen_by):
         return {
@@ -112,11 +112,11 @@
             if other != number
         )
 
-    def _post(self, sender, sends):
+    def _transmit(self, sender, sends):
         for send in sends:
             receiver = int(send.address.rpartition(":")[2]) - 9000
             raw = encode_message(send.message)
             self.sent_bytes[sender] += len(raw)
             lost = self.rng.random() < self.loss
-            if not lost and (sender, receiver) not in self.cut:
-                self.flying.append((receiver, raw))
+            if not lost and (sender, receiver) not in self.blocked_links:
+                self.in_flight.append((receiver, raw))
--- a/currantdeal/membership/tests/test_home_book.py
+++ b/currantdeal/membership/tests/test_home_book.py
@@ -43,7 +43,7 @@
     return book.reserve(call, now_s)
 
 
-def _beat(*names, process=1, listed=False, released=()):
+def _heartbeat(*names, process=1, listed=False, released=()):
     keys = [("decode-1", name) for name in names]
     held = tuple(HeldKey(upstream_id=u, request_id=r) for u, r in keys)
     return Sync(
@@ -57,73 +57,77 @@
     )
 
 
-def _cancelled(*names):
+def _cancels(*names):
     return tuple(
         Cancel(upstream_id="decode-1", request_id=name) for name in names
     )
 
 
-def test_heartbeats_keep_grants_and_silence_cancels_them():
+def test_grants_are_cancelled_when_heartbeats_stop():
     book = _book()
     assert isinstance(_reserve(book, "r1", 0.0)[0], Grant)
     for tenth in range(1, 50):
-        book.sync(_beat("r1"), tenth / 10)
+        book.sync(_heartbeat("r1"), tenth / 10)
         assert book.silent_entries(tenth / 10) == ()
-    assert book.silent_entries(7.0) == _cancelled("r1")
+    assert book.silent_entries(7.0) == _cancels("r1")
     assert book.get("decode-1").idle
 
 
-def test_restarted_entry_loses_what_its_former_process_held():
-    """An entry dies and is back before anybody misses it.
+def test_entry_restart_releases_former_reservations():
+    """Guards against memory held for requests of a former process.
 
-    Its callers' connections are gone, but its heartbeats go on, so the
-    memory of its requests would stay held for good.
+    An entry restarts within the heartbeat timeout.  The connections of its
+    callers are lost, but its heartbeats continue, so no timeout would
+    release the memory.
     """
     book = _book()
     _reserve(book, "r1", 0.0, process=1)
     grant, cancels = _reserve(book, "r2", 0.1, process=2)
     assert isinstance(grant, Grant)
-    assert cancels == _cancelled("r1")
-    late, _ = _reserve(book, "r3", 0.2, process=1)
-    assert isinstance(late, HomeRefusal)
+    assert cancels == _cancels("r1")
+    stale, _ = _reserve(book, "r3", 0.2, process=1)
+    assert isinstance(stale, HomeRefusal)
 
 
-def test_lost_release_is_found_by_the_digest():
-    """The message that gives a reservation back is lost.
+def test_lost_release_is_detected_by_digest():
+    """Guards against a memory leak through lost release messages.
 
-    The entry goes on renewing, so without a comparison the memory would
-    never come free and the engine would shrink with every lost message.
+    The entry continues to send heartbeats, so without a comparison with its
+    reservations the memory would never be released, and the capacity of the
+    engine would decrease with every lost message.
     """
     book = _book()
     _reserve(book, "r1", 0.0)
     _reserve(book, "r2", 0.0)
-    assert not book.sync(_beat("r2"), 1.0)[0].list_wanted
-    assert book.sync(_beat("r2"), 1.5)[0].list_wanted
-    answer, cancels = book.sync(_beat("r2", listed=True), 2.0)
-    assert cancels == _cancelled("r1")
+    assert not book.sync(_heartbeat("r2"), 1.0)[0].list_wanted
+    assert book.sync(_heartbeat("r2"), 1.5)[0].list_wanted
+    answer, cancels = book.sync(_heartbeat("r2", listed=True), 2.0)
+    assert cancels == _cancels("r1")
     assert not answer.list_wanted
 
 
-def test_entry_learns_what_the_home_does_not_keep():
+def test_unknown_reservation_is_reported_as_lost():
     book = _book()
-    answer, _ = book.sync(_beat("r9", listed=True), 1.0)
+    answer, _ = book.sync(_heartbeat("r9", listed=True), 1.0)
     assert [key.request_id for key in answer.lost] == ["r9"]
 
 
-def test_paused_home_does_not_cancel_what_it_did_not_listen_to():
-    """The home's process is stopped for ten seconds and goes on.
+def test_paused_home_cancels_no_reservation():
+    """Guards against cancelled streams after a pause of the home.
 
-    All entries seem silent to it; cancelling would cut off every stream.
+    The process of the home is paused for ten seconds and resumes.  The
+    heartbeats of all entries seem to have timed out, and cancelling their
+    requests would end every stream.
     """
     book = _book()
     _reserve(book, "r1", 0.0)
     book.excuse_if_paused(10.0, listening=True)
     assert book.silent_entries(10.1) == ()
     assert book.silent_upstreams(10.1) == ()
-    assert book.silent_entries(13.0) == _cancelled("r1")
+    assert book.silent_entries(13.0) == _cancels("r1")
 
 
-def test_home_without_lease_judges_nobody():
+def test_home_without_lease_cancels_no_reservation():
     book = _book()
     _reserve(book, "r1", 0.0)
     for tenth in range(50):
@@ -131,7 +135,7 @@
     assert book.silent_entries(5.0) == ()
 
 
-def test_adopted_grants_count_and_orphans_are_found():
+def test_adopted_grants_use_memory_and_orphans_are_detected():
     book = _book()
     home = book.take(build_upstream(), 8, 0.0)
     claimed = ClaimedGrant(request=_request("r1"), pieces=80)
@@ -147,19 +151,19 @@
     assert [one.request_id for one in home.orphans(held)] == ["r8"]
 
 
-def test_loads_travel_once_and_old_incarnations_are_ignored():
+def test_loads_are_sent_once_and_old_incarnations_ignored():
     book = _book()
     book.hear(LoadReport(upstream_id="decode-1", incarnation=0), 1.0)
-    answer, _ = book.sync(_beat(), 1.0)
+    answer, _ = book.sync(_heartbeat(), 1.0)
     assert decode_loads(answer.loads) == ()
     report = LoadReport(upstream_id="decode-1", incarnation=1, running=3)
     book.hear(report, 1.0)
-    answer, _ = book.sync(_beat(), 1.0)
+    answer, _ = book.sync(_heartbeat(), 1.0)
     assert decode_loads(answer.loads) == (report,)
-    beat = Sync(
+    heartbeat = Sync(
         entry="i2",
         process=1,
         claims=digest_of([]),
         loads_after=answer.loads_after,
     )
-    assert decode_loads(book.sync(beat, 1.1)[0].loads) == ()
+    assert decode_loads(book.sync(heartbeat, 1.1)[0].loads) == ()
--- a/currantdeal/membership/tests/test_placement.py
+++ b/currantdeal/membership/tests/test_placement.py
@@ -16,13 +16,13 @@
     ]
 
 
-def test_home_is_near_the_upstream():
+def test_home_is_in_the_data_centre_of_the_upstream():
     members = _two_regions()
     home = choose_home(build_upstream(), members)
     assert home in {"i0", "i1", "i2", "i3"}
 
 
-def test_homes_are_spread_and_only_those_of_a_lost_instance_move():
+def test_homes_are_balanced_and_only_those_of_a_lost_instance_move():
     members = _two_regions()
     upstreams = [build_upstream(f"u{n}") for n in range(400)]
     before = {u: choose_home(u, members) for u in upstreams}
@@ -34,7 +34,7 @@
         assert after != "i2"
 
 
-def test_home_falls_back_to_the_region_and_then_to_anybody():
+def test_home_falls_back_to_the_region_and_then_to_any_instance():
     members = _two_regions()
     upstream = build_upstream(data_center="lagos-9")
     assert choose_home(upstream, members) in {"i0", "i1", "i2", "i3"}
@@ -48,7 +48,7 @@
     assert choose_home(upstream, []) is None
 
 
-def test_entries_are_near_first_then_by_load_without_dead_and_draining():
+def test_entries_are_ordered_by_region_and_load_without_dead_and_draining():
     members = _two_regions()
     members[0] = replace(members[0], load=0.9)
     members[1] = replace(members[1], status=MemberStatus.DEAD)
@@ -66,7 +66,7 @@
     assert answer.keep_s == 5.0
 
 
-def test_callers_of_equal_entries_spread():
+def test_entries_of_equal_load_are_shuffled():
     rng = random.Random(2)
     first = Counter(
         choose_entries(
--- a/currantdeal/membership/wire.py
+++ b/currantdeal/membership/wire.py
@@ -1,8 +1,8 @@
-"""Membership messages as datagrams.
+"""Encoding of membership messages as datagrams.
 
-Records are written as arrays without field names.  ``core.Codec`` names every
-field, which makes a record two and a half times as large, and the size of
-records decides how much news fits into one datagram.
+Records are encoded as arrays without field names.  ``core.Codec`` writes the
+name of every field, which makes a record two and a half times as large, and
+the size of a record limits the number of updates in a datagram.
 """
 
 from functools import lru_cache
@@ -13,11 +13,14 @@
 from currantdeal.membership.messages import Ack, Exchange, Ping, PingRequest
 from currantdeal.ports import Member, MemberStatus
 
-LOAD_STEPS = 100
-"""Load travels in hundredths; a finer one would change with every probe."""
+LOAD_SCALE = 100
+"""Steps per unit of load, which is encoded in hundredths.
+
+A finer resolution would make the record change with every probe.
+"""
 
 _STATUSES = tuple(MemberStatus)
-_STATUS_NUMBERS = {status: number for number, status in enumerate(_STATUSES)}
+_STATUS_CODES = {status: number for number, status in enumerate(_STATUSES)}
 
 
 class _Record(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
@@ -43,18 +46,18 @@
 
 _KINDS = (Ping, Ack, PingRequest, Exchange)
 _ENCODER = msgspec.msgpack.Encoder()
-_DATAGRAM = msgspec.msgpack.Decoder(_Datagram)
-_RECORD = msgspec.msgpack.Decoder(_Record)
+_DATAGRAM_DECODER = msgspec.msgpack.Decoder(_Datagram)
+_RECORD_DECODER = msgspec.msgpack.Decoder(_Record)
 
 
 @lru_cache(maxsize=4096)
 def encode_member(member):
-    """Return the bytes of one record."""
-    return _ENCODER.encode(_record_of(member))
+    """Return the encoded record of a member."""
+    return _ENCODER.encode(_to_record(member))
 
 
 def encode_message(message):
-    """Return the bytes of a message."""
+    """Return the datagram of a message."""
     about = getattr(message, "target", "") or getattr(message, "subject", "")
     return _ENCODER.encode(
         _Datagram(
@@ -62,7 +65,7 @@
             seq=getattr(message, "seq", 0),
             about=about,
             flag=getattr(message, "reply_wanted", False),
-            sender=_record_of(message.sender),
+            sender=_to_record(message.sender),
             rumors=tuple(
                 msgspec.Raw(encode_member(rumor)) for rumor in message.rumors
             ),
@@ -71,22 +74,22 @@
 
 
 def decode_message(raw):
-    """Return the message that a datagram holds.
+    """Return the message in a datagram.
 
     Raises
     ------
     WireError
-        If it holds none.
+        If the datagram is not a membership message.
     """
     try:
-        datagram = _DATAGRAM.decode(raw)
-        return _message_of(datagram)
+        datagram = _DATAGRAM_DECODER.decode(raw)
+        return _to_message(datagram)
     except (msgspec.MsgspecError, IndexError) as exc:
         raise WireError(f"not a membership message: {exc}") from exc
 
 
-def _message_of(datagram):
-    sender = _member_of(datagram.sender)
+def _to_message(datagram):
+    sender = _to_member(datagram.sender)
     rumors = tuple(_decode_member(bytes(raw)) for raw in datagram.rumors)
     kind = _KINDS[datagram.kind]
     if kind is Exchange:
@@ -107,16 +110,16 @@
 
 @lru_cache(maxsize=4096)
 def _decode_member(raw):
-    return _member_of(_RECORD.decode(raw))
+    return _to_member(_RECORD_DECODER.decode(raw))
 
 
-def _record_of(member):
+def _to_record(member):
     return _Record(
         instance=member.instance,
         incarnation=member.incarnation,
-        status=_STATUS_NUMBERS[member.status],
+        status=_STATUS_CODES[member.status],
         draining=member.draining,
-        load=round(member.load * LOAD_STEPS),
+        load=round(member.load * LOAD_SCALE),
         caller_address=member.caller_address,
         peer_address=member.peer_address,
         region=member.region,
@@ -124,13 +127,13 @@
     )
 
 
-def _member_of(record):
+def _to_member(record):
     return Member(
         instance=record.instance,
         incarnation=record.incarnation,
         status=_STATUSES[record.status],
         draining=record.draining,
-        load=record.load / LOAD_STEPS,
+        load=record.load / LOAD_SCALE,
         caller_address=record.caller_address,
         peer_address=record.peer_address,
         region=record.region,
