--- a/currantdeal/consensus/__init__.py
+++ b/currantdeal/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log: Raft as a state machine without input or output."""
+"""The replicated log: a Raft state machine that does no input or output."""
 
 from currantdeal.consensus.configuration import Configuration, Replica
 from currantdeal.consensus.errors import (
--- a/currantdeal/consensus/configuration.py
+++ b/currantdeal/consensus/configuration.py
@@ -1,9 +1,9 @@
-"""Which replicas vote, which ones still learn, and where they are.
+"""The replica set: voters, learners and their peer addresses.
 
-The set changes by one voter at a time [1]_, so that any two majorities, of
-the set before and of the set after, share a replica.  A replica that is new,
-or that lost its disk, is a learner first: it gets the log but counts neither
-for commits nor for elections until it has caught up.
+The set changes by one voter at a time [1]_, so that any quorum of the old set
+and any quorum of the new set share a replica.  A replica that is new, or that
+lost its disk, starts as a learner: it receives the log but counts neither for
+commits nor for elections until it has caught up.
 
 References
 ----------
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Replica:
-    """One member of the replica set, with its peer address."""
+    """A member of the replica set with its peer address."""
 
     instance: InstanceId
     address: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """A replica set.
+    """An immutable replica set of voters and learners.
 
     Examples
     --------
@@ -44,12 +44,12 @@
 
     @property
     def voter_names(self):
-        """Names of the voters."""
+        """Instance names of the voters."""
         return tuple(rep.instance for rep in self.voters)
 
     @property
     def learner_names(self):
-        """Names of the learners."""
+        """Instance names of the learners."""
         return tuple(rep.instance for rep in self.learners)
 
     @property
@@ -59,34 +59,38 @@
 
     @property
     def member_names(self):
-        """Names of the voters and learners."""
+        """Instance names of the voters and learners."""
         return self.voter_names + self.learner_names
 
     @property
     def quorum(self):
-        """Number of voters that make a majority."""
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def with_learner(self, replica):
-        """Return the set with one more learner."""
+        """Return the set with a replica added as a learner."""
         if replica.instance in self.member_names:
-            raise ChangePendingError(f"{replica.instance} is a member")
+            raise ChangePendingError(f"{replica.instance} is already a member")
         return replace(self, learners=(*self.learners, replica))
 
     def with_voter(self, instance):
-        """Return the set with a learner made a voter."""
-        found = [rep for rep in self.learners if rep.instance == instance]
-        if not found:
-            raise ChangePendingError(f"{instance} is no learner")
-        rest = tuple(rep for rep in self.learners if rep not in found)
-        return Configuration(voters=(*self.voters, *found), learners=rest)
+        """Return the set with a learner promoted to voter."""
+        promoted = [rep for rep in self.learners if rep.instance == instance]
+        if not promoted:
+            raise ChangePendingError(f"{instance} is not a learner")
+        learners = tuple(rep for rep in self.learners if rep not in promoted)
+        return Configuration(
+            voters=(*self.voters, *promoted), learners=learners
+        )
 
     def without(self, instance):
-        """Return the set without a voter or learner."""
+        """Return the set with a voter or learner removed."""
         voters = tuple(rep for rep in self.voters if rep.instance != instance)
-        rest = tuple(rep for rep in self.learners if rep.instance != instance)
-        if len(voters) + len(rest) == len(self.members):
-            raise ChangePendingError(f"{instance} is no member")
+        learners = tuple(
+            rep for rep in self.learners if rep.instance != instance
+        )
+        if len(voters) + len(learners) == len(self.members):
+            raise ChangePendingError(f"{instance} is not a member")
         if not voters:
             raise ChangePendingError("the last voter cannot be removed")
-        return Configuration(voters=voters, learners=rest)
+        return Configuration(voters=voters, learners=learners)
--- a/currantdeal/consensus/elections.py
+++ b/currantdeal/consensus/elections.py
@@ -1,9 +1,10 @@
-"""Elections: who may lead, and when a leader stops.
+"""Leader election with pre-vote and leadership transfer.
 
-Raft's elections with the pre-vote and the check of the quorum of the thesis
-[1]_, sections 9.6 and 6.2, and its leadership transfer, section 3.10.  A
-replica asks whether it could win before it raises its term, so that one that
-was cut off does not depose a working leader when it comes back.
+Raft elections with the extensions of the thesis [1]_: pre-vote (section 9.6),
+the quorum check (section 6.2) and leadership transfer (section 3.10).  With
+pre-vote a replica checks whether it could win before it increments its term,
+so a replica that returns from a network partition does not depose a working
+leader.
 
 References
 ----------
@@ -16,59 +17,60 @@
 
 
 def tick(raft, now_s):
-    """Give a leader up that has been silent too long; start an election."""
+    """Clear the leader and start a pre-vote after an election timeout."""
     if now_s < raft.election_due_s:
         return
     raft.reset_election_timer(now_s)
-    # Also where this replica has no vote: one that stands by and was dropped
-    # while it was cut off would go on as if the last leader still led, and
-    # what follows it would stay behind for good.
+    # Learners clear the leader, too.  A learner that was removed from the
+    # replica set during a network partition would otherwise keep its old
+    # leader and never rejoin, and the entries that follow it would never be
+    # updated again.
     raft.leader = None
     if not raft.is_voter or raft.blank:
         return
     raft.role = RaftRole.PRE_CANDIDATE
     raft.votes = {raft.me}
-    _ask_for_votes(raft, term=raft.term + 1, pre=True, transfer=False)
+    _request_votes(raft, term=raft.term + 1, pre=True, transfer=False)
     _count_votes(raft, now_s)
 
 
 def campaign(raft, now_s, *, transfer=False):
-    """Raise the term and ask for votes."""
+    """Increment the term and request votes."""
     raft.role = RaftRole.CANDIDATE
     raft.leader = None
     raft.set_term(raft.term + 1, raft.me)
     raft.reset_election_timer(now_s)
     raft.votes = {raft.me}
-    _ask_for_votes(raft, term=raft.term, pre=False, transfer=transfer)
+    _request_votes(raft, term=raft.term, pre=False, transfer=transfer)
     _count_votes(raft, now_s)
 
 
 def on_timeout_now(raft, message, now_s):
-    """Take over because the leader asks for it."""
+    """Start an election at the leader's request."""
     if message.term == raft.term and raft.is_voter and not raft.blank:
         campaign(raft, now_s, transfer=True)
 
 
 def on_vote_request(raft, request, now_s):
-    """Grant or refuse a vote."""
-    if _trusts_leader(raft, now_s) and not request.transfer:
-        # A removed replica, or one behind a broken path, would otherwise
-        # depose a leader that everybody else hears well; one would notice
-        # it as elections without any failure.
+    """Grant or refuse a vote or pre-vote."""
+    if _has_live_leader(raft, now_s) and not request.transfer:
+        # A removed replica, or one behind a broken network path, would
+        # otherwise depose a leader that all others can reach.  The symptom
+        # would be elections without any failure.
         if request.pre:
             _answer_vote(raft, request, granted=False)
         return
     if request.pre:
-        granted = request.term > raft.term and _may_win(raft, request)
+        granted = request.term > raft.term and _is_up_to_date(raft, request)
         _answer_vote(raft, request, granted=granted and not raft.blank)
         return
     if request.term > raft.term:
-        raft.follow(request.term, None, now_s)
+        raft.become_follower(request.term, None, now_s)
     granted = (
         request.term == raft.term
         and raft.voted_for in (None, request.sender)
         and not raft.blank
-        and _may_win(raft, request)
+        and _is_up_to_date(raft, request)
     )
     if granted:
         raft.set_term(raft.term, request.sender)
@@ -77,14 +79,16 @@
 
 
 def on_vote_answer(raft, answer, now_s):
-    """Count a vote."""
+    """Process the answer to a vote request."""
     if not answer.granted:
         if answer.term > raft.term:
-            raft.follow(answer.term, None, now_s)
+            raft.become_follower(answer.term, None, now_s)
         return
-    wanted_role = RaftRole.PRE_CANDIDATE if answer.pre else RaftRole.CANDIDATE
-    wanted_term = raft.term + 1 if answer.pre else raft.term
-    if raft.role is wanted_role and answer.term == wanted_term:
+    expected_role = (
+        RaftRole.PRE_CANDIDATE if answer.pre else RaftRole.CANDIDATE
+    )
+    expected_term = raft.term + 1 if answer.pre else raft.term
+    if raft.role is expected_role and answer.term == expected_term:
         raft.votes.add(answer.sender)
         _count_votes(raft, now_s)
 
@@ -96,28 +100,29 @@
     if raft.role is RaftRole.PRE_CANDIDATE:
         campaign(raft, now_s)
     elif raft.role is RaftRole.CANDIDATE:
-        replication.lead(raft, now_s)
+        replication.become_leader(raft, now_s)
 
 
-def _trusts_leader(raft, now_s):
+def _has_live_leader(raft, now_s):
     if raft.role is RaftRole.LEADER:
         return True
     if raft.leader is None:
         return False
-    return now_s < raft.heard_s + raft.settings.election_s
+    return now_s < raft.leader_contact_s + raft.settings.election_s
 
 
-def _may_win(raft, request):
-    theirs = (request.last_term, request.last_index)
-    return theirs >= (raft.log.last_term, raft.log.last_index)
+def _is_up_to_date(raft, request):
+    candidate_log = (request.last_term, request.last_index)
+    return candidate_log >= (raft.log.last_term, raft.log.last_index)
 
 
 def _answer_vote(raft, request, *, granted):
-    # A granted pre-vote answers in the asked term, which nobody has entered.
-    in_asked = granted and request.pre
+    # A granted pre-vote carries the term of the request, which no replica
+    # has entered yet.
+    is_granted_pre_vote = granted and request.pre
     raft.messages.append(
         VoteAnswer(
-            term=request.term if in_asked else raft.term,
+            term=request.term if is_granted_pre_vote else raft.term,
             sender=raft.me,
             to=request.sender,
             granted=granted,
@@ -126,7 +131,7 @@
     )
 
 
-def _ask_for_votes(raft, *, term, pre, transfer):
+def _request_votes(raft, *, term, pre, transfer):
     for name in raft.configuration.voter_names:
         if name != raft.me:
             raft.messages.append(
--- a/currantdeal/consensus/errors.py
+++ b/currantdeal/consensus/errors.py
@@ -4,20 +4,20 @@
 
 
 class ConsensusError(CurrantdealError):
-    """Base of the consensus layer's errors."""
+    """Base class of the errors of the replicated log."""
 
 
 class NotLeaderError(ConsensusError):
-    """Only the leader takes proposals, and this replica does not lead."""
+    """The operation needs a leader, and this replica is not a ready one."""
 
 
 class ChangePendingError(ConsensusError):
-    """A change of the replica set must wait, or makes no sense."""
+    """A change of the replica set is invalid or must wait for another."""
 
 
 class CompactedError(ConsensusError):
-    """The wanted entries are only in a snapshot any more."""
+    """The requested entries were compacted into a snapshot."""
 
 
 class InvariantError(ConsensusError):
-    """The log would contradict itself; going on would lose data."""
+    """The log would become inconsistent; continuing would lose data."""
--- a/currantdeal/consensus/following.py
+++ b/currantdeal/consensus/following.py
@@ -1,8 +1,9 @@
-"""A follower's part in replication: Raft's AppendEntries and InstallSnapshot.
+"""Follower side of Raft: AppendEntries and InstallSnapshot.
 
-Departures from the paper: a follower without memory (``blank``) takes a
-snapshot only as a learner, so that votes and entries it has forgotten are
-never counted; a rejected append answers with a hint that skips a whole term.
+This differs from the paper in two points.  A follower without stored state
+(``blank``) installs a snapshot only as a learner, so that votes and entries
+which it has lost are never counted.  A rejected append is answered with a
+hint that skips all entries of the conflicting term.
 """
 
 from currantdeal.consensus.messages import (
@@ -14,24 +15,26 @@
 
 
 def on_append(raft, request, now_s):
-    """Take in entries or a heartbeat."""
+    """Process an append request or heartbeat."""
     if not _accept_leader(raft, request, now_s):
         _answer(raft, request, accepted=False, match=raft.log.last_index)
         return
     if raft.blank:
         _answer(raft, request, accepted=False, match=0)
         return
-    if not _matches(raft, request):
-        _answer(raft, request, accepted=False, match=_hint(raft, request))
+    if not _log_matches(raft, request):
+        _answer(
+            raft, request, accepted=False, match=_conflict_hint(raft, request)
+        )
         return
-    _store(raft, request.entries)
+    _store_entries(raft, request.entries)
     match = request.previous_index + len(request.entries)
     raft.commit = max(raft.commit, min(request.commit, match))
     _answer(raft, request, accepted=True, match=match)
 
 
 def on_snapshot_piece(raft, piece, now_s):
-    """Collect a snapshot, and install it when it is whole."""
+    """Buffer a piece of a snapshot, and install a complete snapshot."""
     if not _accept_leader(raft, piece, now_s):
         _answer(raft, piece, accepted=False, match=raft.log.last_index)
         return
@@ -41,13 +44,13 @@
     if piece.index <= raft.commit and not raft.blank:
         _answer(raft, piece, accepted=True, match=raft.commit)
         return
-    if raft.receiving_index != (piece.term, piece.index):
-        raft.receiving_index = (piece.term, piece.index)
-        raft.receiving = bytearray()
-    if piece.offset == len(raft.receiving):
-        raft.receiving += piece.data
-    if len(raft.receiving) < piece.total:
-        _ask_for_next_piece(raft, piece)
+    if raft.snapshot_buffer_id != (piece.term, piece.index):
+        raft.snapshot_buffer_id = (piece.term, piece.index)
+        raft.snapshot_buffer = bytearray()
+    if piece.offset == len(raft.snapshot_buffer):
+        raft.snapshot_buffer += piece.data
+    if len(raft.snapshot_buffer) < piece.total:
+        _request_next_piece(raft, piece)
         return
     _install(raft, piece)
     _answer(raft, piece, accepted=True, match=piece.index)
@@ -56,43 +59,43 @@
 def _accept_leader(raft, message, now_s):
     if message.term < raft.term:
         return False
-    raft.follow(message.term, message.sender, now_s)
-    raft.heard_s = now_s
+    raft.become_follower(message.term, message.sender, now_s)
+    raft.leader_contact_s = now_s
     raft.reset_election_timer(now_s)
     return True
 
 
-def _matches(raft, request):
+def _log_matches(raft, request):
     if request.previous_index < raft.log.base_index:
         return True
-    known = raft.log.term_at(request.previous_index)
-    return known == request.previous_term
+    local_term = raft.log.term_at(request.previous_index)
+    return local_term == request.previous_term
 
 
-def _hint(raft, request):
+def _conflict_hint(raft, request):
     last = min(raft.log.last_index, request.previous_index - 1)
-    conflicting = raft.log.term_at(request.previous_index)
+    conflicting_term = raft.log.term_at(request.previous_index)
     while (
-        conflicting is not None
+        conflicting_term is not None
         and last > raft.commit
-        and raft.log.term_at(last) == conflicting
+        and raft.log.term_at(last) == conflicting_term
     ):
         last -= 1
     return last
 
 
-def _store(raft, entries):
-    fresh = []
+def _store_entries(raft, entries):
+    new_entries = []
     for entry in entries:
         if entry.index <= raft.log.base_index:
             continue
-        if not fresh and raft.log.term_at(entry.index) == entry.term:
+        if not new_entries and raft.log.term_at(entry.index) == entry.term:
             continue
-        if not fresh and entry.index <= raft.log.last_index:
-            raft.cut_from(entry.index)
-        fresh.append(entry)
-    if fresh:
-        raft.append(fresh)
+        if not new_entries and entry.index <= raft.log.last_index:
+            raft.truncate_from(entry.index)
+        new_entries.append(entry)
+    if new_entries:
+        raft.append(new_entries)
 
 
 def _install(raft, piece):
@@ -100,10 +103,10 @@
         index=piece.index,
         term=piece.index_term,
         configuration=piece.configuration,
-        data=bytes(raft.receiving),
+        data=bytes(raft.snapshot_buffer),
     )
-    raft.receiving = bytearray()
-    raft.receiving_index = None
+    raft.snapshot_buffer = bytearray()
+    raft.snapshot_buffer_id = None
     discard = raft.log.term_at(piece.index) != piece.index_term
     raft.snapshot = snapshot
     raft.writes.append(SaveSnapshot(snapshot=snapshot, discard=discard))
@@ -111,23 +114,23 @@
         raft.log.reset(base_index=piece.index, base_term=piece.index_term)
         raft.synced = piece.index
         raft.configurations.clear()
-        raft.use_configuration(piece.index, piece.configuration)
+        raft.add_configuration(piece.index, piece.configuration)
     else:
         raft.log.compact_to(piece.index)
-        raft.forget_configurations(piece.index)
+        raft.compact_configurations(piece.index)
     raft.commit = max(raft.commit, piece.index)
     raft.applied = max(raft.applied, piece.index)
     raft.installed = snapshot
 
 
-def _ask_for_next_piece(raft, piece):
+def _request_next_piece(raft, piece):
     raft.messages.append(
         SnapshotAnswer(
             term=raft.term,
             sender=raft.me,
             to=piece.sender,
             index=piece.index,
-            offset=len(raft.receiving),
+            offset=len(raft.snapshot_buffer),
             sent_s=piece.sent_s,
             blank=raft.blank,
         )
--- a/currantdeal/consensus/leases.py
+++ b/currantdeal/consensus/leases.py
@@ -1,13 +1,13 @@
-"""Leases on the view: who may still act on which version of the state.
+"""Leases that limit how long an instance may act on its view of the state.
 
-An instance may hand out work under its view only while it holds a lease.
-The idea, leases that are renewed by heartbeats, count from the *sending* of
-the heartbeat and are told as time remaining so that clocks need not agree,
-is that of read leases in Ceph [1]_.  Here a lease is anchored at the sending
-of the latest heartbeat that a quorum of replicas has answered.  A later
-leader can only be elected after that heartbeat, so one that waits a whole
-lease after its election knows that every lease of its predecessors has run
-out, although it has never heard of their holders.
+An instance may assign work under its view only while it holds a lease.  The
+design follows read leases in Ceph [1]_: leases are renewed by heartbeats,
+start at the *sending* of the heartbeat, and are sent as remaining time so that
+clocks need not be synchronised.  Here a lease starts when the latest heartbeat
+was sent that a quorum of replicas has answered.  A later leader can only be
+elected after that heartbeat.  A new leader that waits for one full lease after
+its election can therefore be sure that every lease of its predecessors has
+expired, although it has no record of their holders.
 
 References
 ----------
@@ -19,26 +19,26 @@
 from currantdeal.core import InstanceId, RegionId
 
 CLOCK_DRIFT = 0.02
-"""Most by which two monotonic clocks differ in rate, as a share.
+"""Maximum relative difference in rate between two monotonic clocks.
 
-Quartz clocks differ by 0.0001 at worst; the rest covers a virtual machine
+Quartz clocks differ by at most 0.0001; the rest allows for a virtual machine
 whose clock is being slewed.
 """
 
-FORGET_AFTER_S = 600.0
-"""Time after the end of a lease at which its holder is forgotten."""
+HOLDER_RETENTION_S = 600.0
+"""Time after the end of a lease at which its record is deleted."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Holder:
-    """An instance that has asked this leader for a lease.
+    """An instance that has requested a lease from this leader.
 
     Parameters
     ----------
     version : int
-        Version that it had applied when it asked.
+        Version that it had applied at the time of the request.
     ends_s : float
-        Leader's monotonic time after which the lease has surely run out.
+        Leader's monotonic time after which the lease has certainly expired.
     """
 
     instance: InstanceId
@@ -48,12 +48,12 @@
 
 
 class LeaseTable:
-    """The leader's record of leases.
+    """The leases granted by one leader during its term.
 
     Parameters
     ----------
     lease_s : float
-        Length of a lease.
+        Duration of a lease.
     elected_s : float
         Monotonic time of the leader's election.
 
@@ -70,11 +70,11 @@
     """
 
     def __init__(self, *, lease_s, elected_s):
-        """Start without knowing any holder."""
+        """Start without any holders."""
         self._lease_s = lease_s
         self._elected_s = elected_s
-        self._longest_s = lease_s * (1.0 + CLOCK_DRIFT)
-        self._unknown_until_s = elected_s + self._longest_s
+        self._max_lease_s = lease_s * (1.0 + CLOCK_DRIFT)
+        self._earlier_leases_end_s = elected_s + self._max_lease_s
         self._holders = {}
 
     @property
@@ -83,30 +83,31 @@
         return self._elected_s
 
     def renew(self, instance, region, version, *, anchor_s, now_s):
-        """Return the seconds that the instance may act on its view.
+        """Grant or renew a lease; return its remaining time in seconds.
 
         Parameters
         ----------
         anchor_s : float
-            When the latest heartbeat was sent that a quorum has answered.
+            Time at which the latest heartbeat was sent that a quorum has
+            answered; the lease starts there.
         """
-        known = self._holders.get(instance)
-        ends_s = anchor_s + self._longest_s
+        previous = self._holders.get(instance)
+        ends_s = anchor_s + self._max_lease_s
         self._holders[instance] = Holder(
             instance=instance,
             region=region,
             version=version,
-            ends_s=max(ends_s, known.ends_s if known else ends_s),
+            ends_s=max(ends_s, previous.ends_s if previous else ends_s),
         )
         return max(0.0, round(anchor_s + self._lease_s - now_s, 6))
 
     def release(self, instance):
-        """Note that the instance has given up its lease."""
+        """Remove the lease of an instance that has released it."""
         self._holders.pop(instance, None)
 
     def in_force(self, version, now_s):
-        """Return whether nobody acts on an earlier version any more."""
-        if now_s < self._unknown_until_s:
+        """Return whether no lease on an earlier version can still be valid."""
+        if now_s < self._earlier_leases_end_s:
             return False
         return all(
             holder.version >= version or holder.ends_s <= now_s
@@ -114,33 +115,33 @@
         )
 
     def remaining_s(self, instance, now_s):
-        """Return an upper bound of what is left of an instance's lease."""
-        known = self._holders.get(instance)
-        ends_s = known.ends_s if known else 0.0
-        return max(0.0, max(ends_s, self._unknown_until_s) - now_s)
+        """Return an upper bound of the remaining time of a lease."""
+        holder = self._holders.get(instance)
+        ends_s = holder.ends_s if holder else 0.0
+        return max(0.0, max(ends_s, self._earlier_leases_end_s) - now_s)
 
     def holders(self, now_s, *, also=()):
-        """Return who has asked lately, sorted by name.
+        """Return the current and recent holders, sorted by name.
 
         Parameters
         ----------
         also : iterable of InstanceId
-            Instances that may hold a lease of an earlier leader; they are
-            told too while such a lease may last.
+            Instances that may hold a lease from an earlier leader.  They are
+            included as long as such a lease may still be valid.
         """
         for name, holder in tuple(self._holders.items()):
-            if holder.ends_s + FORGET_AFTER_S < now_s:
+            if holder.ends_s + HOLDER_RETENTION_S < now_s:
                 del self._holders[name]
         found = dict(self._holders)
-        if now_s < self._unknown_until_s:
+        if now_s < self._earlier_leases_end_s:
             for name in also:
-                found.setdefault(name, self._unheard(name))
+                found.setdefault(name, self._unknown_holder(name))
         return tuple(found[name] for name in sorted(found))
 
-    def _unheard(self, name):
+    def _unknown_holder(self, name):
         return Holder(
             instance=name,
             region=RegionId(""),
             version=0,
-            ends_s=self._unknown_until_s,
+            ends_s=self._earlier_leases_end_s,
         )
--- a/currantdeal/consensus/log.py
+++ b/currantdeal/consensus/log.py
@@ -1,21 +1,21 @@
-"""The entries that a replica holds in memory, after a base index."""
+"""In-memory part of the replicated log, after the last compacted index."""
 
 from currantdeal.consensus.errors import CompactedError, InvariantError
 
 
 class Log:
-    """Entries without gaps after a base that a snapshot covers.
+    """Consecutive entries after a base index that a snapshot covers.
 
     Parameters
     ----------
     base_index, base_term : int
-        Of the last entry that is not held any more.
+        Index and term of the last compacted entry.
     entries : iterable of Entry
-        Those after it.
+        Entries after the base index, without gaps.
     """
 
     def __init__(self, *, base_index=0, base_term=0, entries=()):
-        """Hold the entries."""
+        """Start with the given entries."""
         self._base_index = base_index
         self._base_term = base_term
         self._entries = []
@@ -24,21 +24,21 @@
 
     @property
     def base_index(self):
-        """Index of the last entry that is not held any more."""
+        """Index of the last compacted entry."""
         return self._base_index
 
     @property
     def last_index(self):
-        """Index of the last entry, or of the base."""
+        """Index of the last entry; the base index if there is none."""
         return self._base_index + len(self._entries)
 
     @property
     def last_term(self):
-        """Term of the last entry, or of the base."""
+        """Term of the last entry; the base term if there is none."""
         return self._entries[-1].term if self._entries else self._base_term
 
     def term_at(self, index):
-        """Return the term of an entry; None when it is not known."""
+        """Return the term at an index; None if compacted or not present."""
         if index == self._base_index:
             return self._base_term
         if self._base_index < index <= self.last_index:
@@ -46,29 +46,32 @@
         return None
 
     def append(self, entry):
-        """Add an entry at the end."""
+        """Append an entry, whose index must follow the last one."""
         if entry.index != self.last_index + 1:
             raise InvariantError(
-                f"entry {entry.index} after {self.last_index}"
+                f"entry {entry.index} cannot be appended after entry "
+                f"{self.last_index}"
             )
         self._entries.append(entry)
 
-    def cut_from(self, index):
-        """Drop the entry at an index and all after it."""
+    def truncate_from(self, index):
+        """Drop all entries from an index on."""
         if index <= self._base_index:
-            raise InvariantError(f"cannot drop compacted entry {index}")
+            raise InvariantError(f"cannot truncate compacted entry {index}")
         del self._entries[index - self._base_index - 1 :]
 
     def after(self, index, *, limit, max_bytes):
-        """Return entries after an index, bounded in number and size.
+        """Return entries after an index, limited in number and total size.
+
+        The first entry is returned even if it is larger than ``max_bytes``.
 
         Raises
         ------
         CompactedError
-            If the first of them is not held any more.
+            If the first of them was compacted.
         """
         if index < self._base_index:
-            raise CompactedError(f"entry {index + 1} is compacted")
+            raise CompactedError(f"entry {index + 1} was compacted")
         start = index - self._base_index
         found = []
         size = 0
@@ -80,7 +83,7 @@
         return tuple(found)
 
     def compact_to(self, index):
-        """Drop the entries up to an index."""
+        """Drop the entries up to and including an index."""
         if index <= self._base_index:
             return
         term = self.term_at(index)
@@ -91,7 +94,7 @@
         self._base_term = term
 
     def reset(self, *, base_index, base_term):
-        """Drop every entry and start after another base."""
+        """Drop all entries and set a new base."""
         self._entries.clear()
         self._base_index = base_index
         self._base_term = base_term
--- a/currantdeal/consensus/messages.py
+++ b/currantdeal/consensus/messages.py
@@ -1,7 +1,8 @@
-"""What replicas say to each other, and what they keep.
+"""Raft messages between replicas, and the records they write to disk.
 
-Every message names its sender, its receiver and the sender's term.  The
-names follow the Raft paper [1]_ where it has one.
+Every message carries its sender, its receiver and the sender's term.  The
+names follow the Raft paper [1]_ where it defines one.  Messages and records
+are encoded under their class and field names, which must not change.
 
 References
 ----------
@@ -17,7 +18,7 @@
 
 
 class EntryKind(str, Enum):
-    """What an entry of the log holds."""
+    """Kind of a log entry; ``NOTHING`` is the empty entry of a new leader."""
 
     COMMAND = "command"
     NOTHING = "nothing"
@@ -26,12 +27,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Entry:
-    """One place of the log; ``data`` is opaque unless it is a configuration.
+    """A log entry; ``data`` is opaque unless it is a configuration.
 
     Parameters
     ----------
     index : int
-        Place in the log, from 1.
+        Position in the log, starting at 1.
     term : int
         Term of the leader that appended it.
     """
@@ -44,16 +45,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Snapshot:
-    """The applied state up to an index, in place of the entries.
+    """The applied state up to an index, which replaces the entries up to it.
 
     Parameters
     ----------
     index, term : int
-        Of the last entry that the state includes.
+        Index and term of the last entry that the state includes.
     configuration : Configuration
         The replica set at that index.
     data : bytes
-        Opaque state.
+        The serialised state, opaque to this package.
     """
 
     index: int
@@ -64,13 +65,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VoteRequest:
-    """A candidate, or one that would be (``pre``), asks for a vote.
+    """Request for a vote, or for a pre-vote if ``pre`` is set.
 
     Parameters
     ----------
     transfer : bool
-        True when the leader itself asked the sender to take over, so that
-        hearing from the leader is no reason to refuse.
+        True when the leader requested the election by ``TimeoutNow``, so
+        that recent contact with the leader is no reason to refuse.
     """
 
     term: int
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VoteAnswer:
-    """Whether the vote is granted."""
+    """Answer to a ``VoteRequest``: whether the vote is granted."""
 
     term: int
     sender: InstanceId
@@ -95,16 +96,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AppendRequest:
-    """The leader sends entries, or none as a heartbeat.
+    """Entries from the leader, or a heartbeat if there are none.
 
     Parameters
     ----------
     sent_s : float
-        Leader's monotonic time of sending; the answer brings it back, which
-        tells the leader since when the receiver has known it as leader.
+        Leader's monotonic time of sending.  The answer returns it as a lower
+        bound of the time at which the receiver last followed this leader.
     learner : bool
-        True when the receiver only learns; a replica without memory of its
-        votes takes entries on no other terms.
+        True when the receiver is a learner; a replica without stored votes
+        accepts the log only as a learner.
     """
 
     term: int
@@ -120,15 +121,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AppendAnswer:
-    """What the receiver now has on synced disk.
+    """Answer to an ``AppendRequest``, sent after the disk is synced.
 
     Parameters
     ----------
     match_index : int
-        When accepted, the last index known to equal the leader's; when not,
-        the last index that may, as a hint where to go on.
+        If accepted, the last index up to which the log is known to match the
+        leader's.  If rejected, the last index up to which it may match, as a
+        hint from where to resend.
     blank : bool
-        True when the receiver lost its disk or never had one.
+        True when the receiver has lost its disk or never stored any state.
     """
 
     term: int
@@ -142,7 +144,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotPiece:
-    """The leader sends a part of a snapshot."""
+    """A part of a snapshot, sent by the leader."""
 
     term: int
     sender: InstanceId
@@ -159,7 +161,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotAnswer:
-    """How much of a snapshot the receiver has."""
+    """Answer to a ``SnapshotPiece``: the number of bytes received so far."""
 
     term: int
     sender: InstanceId
@@ -172,7 +174,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TimeoutNow:
-    """The leader asks a caught-up voter to take over at once."""
+    """Request from the leader to a caught-up voter to start an election."""
 
     term: int
     sender: InstanceId
@@ -195,7 +197,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SaveVote:
-    """Write: the term, and who got the vote in it."""
+    """Write of the term and of the vote that was granted in it."""
 
     term: int
     voted_for: InstanceId | None
@@ -203,20 +205,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SaveEntries:
-    """Write: entries; those at and after the first index give way."""
+    """Write of entries that replace all stored ones from their first index."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class SaveSnapshot:
-    """Write: a snapshot.
+    """Write of a snapshot.
 
     Parameters
     ----------
     discard : bool
-        True when the log's entries are all to be dropped, because the
-        snapshot came from the leader and the log does not lead up to it.
+        True when all log entries are to be deleted, because the snapshot
+        came from the leader and conflicts with the log or is ahead of it.
     """
 
     snapshot: Snapshot
@@ -228,15 +230,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Stored:
-    """What a replica finds on its disk when it starts.
+    """Data that a replica reads from its disk when it starts.
 
     Parameters
     ----------
     snapshot : Snapshot or None
-        The latest; None on a replica without memory, which neither votes
-        nor counts before it has learned from a leader.
+        The latest snapshot; None on a replica without stored state, which
+        neither votes nor counts for a quorum until it has caught up as a
+        learner.
     entries : tuple of Entry
-        Those after the snapshot, without gaps.
+        Entries after the snapshot, without gaps.
     """
 
     term: int = 0
@@ -247,22 +250,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Output:
-    """What a replica wants done, in this order.
+    """Actions that the caller must carry out for a replica, in this order.
 
     Parameters
     ----------
     early : tuple of Message
-        May be sent before the writes are synced.
+        Messages that may be sent before the writes are synced.
     writes : tuple of Write
-        To be synced to disk together.
+        Writes to be synced to disk together.
     messages : tuple of Message
-        To be sent only after the writes are synced.
+        Messages to be sent only after the writes are synced.
     installed : Snapshot or None
-        Replaces the applied state, before the committed entries.
+        Snapshot that replaces the applied state, before the committed
+        entries are applied.
     committed : tuple of Entry
-        To be applied, in order.
+        Entries to be applied, in order.
     last_index : int
-        To be passed to ``Node.synced`` after the sync.
+        Index to be passed to ``Node.synced`` after the sync.
     """
 
     early: tuple[Message, ...] = ()
--- a/currantdeal/consensus/node.py
+++ b/currantdeal/consensus/node.py
@@ -1,7 +1,8 @@
-"""One replica of the log, as a state machine without input or output.
+"""One Raft replica as a state machine that does no input or output itself.
 
-Messages and time go in; messages, writes and committed entries come out.
-The caller syncs the writes before it sends the messages that depend on them.
+The caller passes in messages and the current time, and takes out messages,
+writes and committed entries.  It must sync the writes before it sends the
+messages that depend on them.
 
 See Also
 --------
@@ -35,18 +36,18 @@
 
 
 class Node:
-    """A replica.
+    """A Raft replica.
 
     Parameters
     ----------
     me : InstanceId
         Name of this replica.
     settings : NodeSettings
-        Intervals and bounds.
+        Timeouts and size limits.
     stored : Stored
-        What its disk holds.
+        Data read from disk.
     random : random.Random
-        Source of the election timeouts.
+        Random number generator for the election timeouts.
     now_s : float
         Monotonic time of the start.
 
@@ -71,7 +72,7 @@
     """
 
     def __init__(self, *, me, settings, stored, random, now_s):
-        """Take up what the disk held, as a follower."""
+        """Start as a follower with the data read from disk."""
         self._raft = Raft(
             me=me, settings=settings, random=random, stored=stored, now_s=now_s
         )
@@ -83,39 +84,39 @@
 
     @property
     def role(self):
-        """Present role."""
+        """Current role."""
         return self._raft.role
 
     @property
     def leader(self):
-        """The leader of the current term, if known."""
+        """The leader of the current term; None if unknown."""
         return self._raft.leader
 
     @property
     def votes(self):
-        """Who has granted a vote in the round that runs; sorted names."""
+        """Sorted names of the voters that granted a vote in this election."""
         raft = self._raft
-        asks = (RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE)
-        return tuple(sorted(raft.votes)) if raft.role in asks else ()
+        election_roles = (RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE)
+        return tuple(sorted(raft.votes)) if raft.role in election_roles else ()
 
     @property
     def blank(self):
-        """True on a replica that has lost, or never had, its memory."""
+        """True on a replica whose disk was lost or never held any state."""
         return self._raft.blank
 
     @property
     def is_fresh(self):
-        """True on a replica that has not taken part in anything yet."""
+        """True on a replica that has seen no term and no entry yet."""
         return self._raft.term == 0 and self._raft.log.last_index == 0
 
     @property
     def is_ready(self):
-        """True on a leader that has given out all that was committed before.
+        """True on a leader that has output all entries of earlier terms.
 
-        What is committed but not yet given out by ``take_output`` is not
-        applied either.  A leader that granted a lease between the two would
-        grant it for a view from before changes that are in force; one would
-        notice it as an old selector that guides work after a restart.
+        An entry that is committed but not yet returned by ``take_output`` is
+        not applied either.  A lease granted in between would cover a view
+        without changes that are already in force.  The symptom would be an
+        outdated selector that still routes work after a restart.
         """
         raft = self._raft
         leads = raft.role is RaftRole.LEADER
@@ -128,12 +129,12 @@
 
     @property
     def last_index(self):
-        """Index of the last entry held."""
+        """Index of the last entry in the log."""
         return self._raft.log.last_index
 
     @property
     def base_index(self):
-        """Index of the last entry that only a snapshot holds."""
+        """Index of the last entry that was compacted into a snapshot."""
         return self._raft.log.base_index
 
     @property
@@ -143,12 +144,12 @@
 
     @property
     def configuration(self):
-        """The latest replica set known."""
+        """The latest replica set in the log, committed or not."""
         return self._raft.configuration
 
     @property
     def set_change(self):
-        """The latest ``ReplicaSetChange`` of this replica as leader."""
+        """The latest ``ReplicaSetChange`` by this replica as leader."""
         return self._raft.set_change
 
     @property
@@ -157,40 +158,49 @@
         return self._raft.configuration_index > self._raft.commit
 
     def entry_term(self, index):
-        """Return the term of an entry; None when it is not held."""
+        """Return the term of an entry; None if it is not in the log."""
         return self._raft.log.term_at(index)
 
     def entries_after(self, index, *, limit, max_bytes):
-        """Return committed entries; ``CompactedError`` if not held."""
+        """Return the committed entries after an index.
+
+        Raises
+        ------
+        CompactedError
+            If the first of them was compacted.
+        """
         found = self._raft.log.after(index, limit=limit, max_bytes=max_bytes)
         return tuple(e for e in found if e.index <= self._raft.commit)
 
     def quorum_acked_s(self, now_s):
-        """Return since when a quorum has known this leader."""
+        """Return the send time of the last heartbeat a quorum answered."""
         return replication.quorum_acked_s(self._raft, now_s)
 
     def silent_members(self, now_s):
-        """Return who may be gone for good; a follower knows of nobody."""
+        """Return the members that are considered permanently unreachable.
+
+        Only the leader tracks them; a follower returns an empty set.
+        """
         if self._raft.role is not RaftRole.LEADER:
             return frozenset()
         return replication.silent_members(self._raft, now_s)
 
     def tick(self, now_s):
-        """Let time pass."""
+        """Run the timers that have expired."""
         if self._raft.role is RaftRole.LEADER:
             replication.tick(self._raft, now_s)
         else:
             elections.tick(self._raft, now_s)
 
     def receive(self, message, now_s):
-        """Take in a message from another replica."""
+        """Process a message from another replica."""
         raft = self._raft
         if message.term > raft.term and not isinstance(
             message, (VoteRequest, VoteAnswer)
         ):
-            raft.follow(message.term, None, now_s)
+            raft.become_follower(message.term, None, now_s)
         _receive(message, raft, now_s)
-        self._stop_leading_when_removed(now_s)
+        self._step_down_when_removed(now_s)
 
     def propose(self, payloads, now_s):
         """Append commands and return their entries, not yet committed.
@@ -198,21 +208,23 @@
         Raises
         ------
         NotLeaderError
-            If this replica does not lead, or is handing over.
+            If this replica is not the leader, or is transferring leadership.
         """
         raft = self._raft
         if raft.role is not RaftRole.LEADER or raft.transfer_to is not None:
-            raise NotLeaderError(f"{raft.me} does not lead")
+            raise NotLeaderError(
+                f"{raft.me} is not the leader or is transferring leadership"
+            )
         return replication.append(raft, payloads, EntryKind.COMMAND, now_s)
 
     def join(self, replica, *, blank, now_s):
-        """Take one step towards having a replica as a voter.
+        """Take the next step of making a replica a voter.
 
-        A voter without memory is removed first, and a replica that is no
-        member becomes a learner; see ``next_change`` for what follows.
+        A voter that lost its disk is removed first.  A replica that is not a
+        member becomes a learner; ``next_change`` decides on the later steps.
         """
-        self._check_may_change()
-        self._raft.leaving_s.pop(replica.instance, None)
+        self._check_change_allowed()
+        self._raft.leave_requested_s.pop(replica.instance, None)
         configuration = self._raft.configuration
         if replica.instance in configuration.voter_names and blank:
             changed = configuration.without(replica.instance)
@@ -225,51 +237,53 @@
         replication.change_configuration(self._raft, changed, now_s)
 
     def leave(self, instance, now_s):
-        """Note that a member stops; returns whether it counts no more.
+        """Record that a member stops; return whether its removal is committed.
 
         Raises
         ------
         NotLeaderError
-            If this replica does not lead.
+            If this replica is not a ready leader.
         """
         raft = self._raft
         if not self.is_ready:
-            raise NotLeaderError(f"{raft.me} does not lead")
+            raise NotLeaderError(f"{raft.me} is not a ready leader")
         if instance not in raft.configuration.member_names:
             return not self.change_pending
-        raft.leaving_s[instance] = now_s
+        raft.leave_requested_s[instance] = now_s
         return False
 
     def remove(self, instance, now_s):
-        """Take a replica out of the set."""
-        self._check_may_change()
+        """Remove a member from the replica set."""
+        self._check_change_allowed()
         changed = self._raft.configuration.without(instance)
         replication.change_configuration(self._raft, changed, now_s)
 
     def transfer(self, now_s):
-        """Hand leadership over, if this replica leads."""
+        """Transfer leadership to another voter, if this replica leads."""
         if self._raft.role is RaftRole.LEADER:
             replication.transfer(self._raft, now_s)
 
     def bootstrap(self, configuration):
-        """Start the very first replica set on a fresh replica."""
+        """Set the initial replica set on a fresh replica."""
         snapshot = Snapshot(index=0, term=0, configuration=configuration)
         self._raft.snapshot = snapshot
         self._raft.configurations.clear()
-        self._raft.use_configuration(0, configuration)
+        self._raft.add_configuration(0, configuration)
         self._raft.writes.append(SaveSnapshot(snapshot=snapshot))
 
     def compact(self, *, index, data, keep):
-        """Put a snapshot of the applied state in place of entries.
+        """Replace applied entries by a snapshot of the state.
 
         Parameters
         ----------
         index : int
-            The last entry that the state includes; it must be applied.
+            Index of the last entry that the state includes; it must be
+            applied.
         data : bytes
-            The state.
+            The serialised state.
         keep : int
-            Entries before the index to hold on to, for those who lag.
+            Number of entries up to the index to retain, so that lagging
+            followers can catch up without a snapshot.
         """
         raft = self._raft
         snapshot = Snapshot(
@@ -281,15 +295,15 @@
         raft.snapshot = snapshot
         raft.writes.append(SaveSnapshot(snapshot=snapshot))
         raft.log.compact_to(max(raft.log.base_index, index - keep))
-        raft.forget_configurations(raft.log.base_index)
+        raft.compact_configurations(raft.log.base_index)
 
     def synced(self, last_index):
-        """Note that the output's writes are on synced disk."""
+        """Record that the writes of the output are synced to disk."""
         self._raft.synced = min(last_index, self._raft.log.last_index)
         replication.advance_commit(self._raft)
 
     def take_output(self):
-        """Return what is to be done since the last call."""
+        """Return the output that has accumulated since the last call."""
         raft = self._raft
         committed = ()
         if raft.commit > raft.applied:
@@ -312,25 +326,29 @@
         raft.installed = None
         return output
 
-    def _check_may_change(self):
+    def _check_change_allowed(self):
         if not self.is_ready:
-            # Without an entry of its own term committed, a leader may not
-            # know a change that is already in force, and two majorities
-            # without a common replica could arise.
-            raise NotLeaderError(f"{self._raft.me} is not ready to change")
+            # Until an entry of its own term is committed, a leader may lack
+            # a change of the replica set that is already in force, and two
+            # quorums without a common replica could form.
+            raise NotLeaderError(
+                f"{self._raft.me} is not ready to change the replica set"
+            )
         if self.change_pending:
-            raise ChangePendingError("another change is not committed yet")
+            raise ChangePendingError(
+                "another change of the replica set is not committed yet"
+            )
 
-    def _stop_leading_when_removed(self, now_s):
+    def _step_down_when_removed(self, now_s):
         raft = self._raft
         removed = not raft.is_voter and not self.change_pending
         if raft.role is RaftRole.LEADER and removed:
-            raft.follow(raft.term, None, now_s)
+            raft.become_follower(raft.term, None, now_s)
 
 
 @singledispatch
 def _receive(message, raft, now_s):
-    raise TypeError(f"not a message: {message!r}")
+    raise TypeError(f"not a Raft message: {message!r}")
 
 
 @_receive.register
--- a/currantdeal/consensus/raft.py
+++ b/currantdeal/consensus/raft.py
@@ -1,7 +1,7 @@
-"""The working state of one replica, shared by the modules of this package.
+"""In-memory Raft state of one replica, shared by the modules of this package.
 
 Only ``Node`` and the modules ``elections``, ``following`` and ``replication``
-touch it, always from one thread.
+access it, always from one thread, so it takes no locks.
 """
 
 import math
@@ -23,7 +23,7 @@
 
 
 class RaftRole(str, Enum):
-    """What a replica does at present."""
+    """Current Raft role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -33,28 +33,29 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NodeSettings:
-    """Intervals and bounds of a replica.
+    """Timeouts and size limits of a replica.
 
     Parameters
     ----------
     heartbeat_s : float
         Interval between heartbeats of the leader.
     election_s : float
-        Shortest silence of the leader before an election; the longest is
-        twice that.  A leader that a majority has not answered for as long
-        steps down.
+        Minimum election timeout; the maximum is twice that.  A leader whose
+        heartbeats no quorum has answered for the maximum steps down.
     first_election_s : float or None
-        The same for a replica that has not heard a leader since its start;
-        ``election_s`` if None.
+        Minimum election timeout of a replica that has had no contact with a
+        leader since it started; ``election_s`` if None.
     silent_s : float
-        Silence after which a replica may be gone for good.  Shorter pauses,
-        such as a restart, end by themselves.
+        Time without an answer after which a replica is considered
+        permanently unreachable.  Shorter pauses, such as a restart, need no
+        change of the replica set.
     max_entries, max_bytes : int
-        Bounds of one message with entries.
+        Limits of one ``AppendRequest``.
     window_entries : int
-        Entries sent ahead of the receiver's answers.
+        Number of unacknowledged entries after which the leader sends a
+        follower no more until it answers.
     piece_bytes : int
-        Bytes of a snapshot in one message.
+        Size of the snapshot pieces, in bytes.
     """
 
     heartbeat_s: float = 0.15
@@ -68,20 +69,20 @@
 
 
 class Progress:
-    """What the leader knows of another replica."""
+    """Replication progress of one peer, as tracked by the leader."""
 
     def __init__(self, *, next_index, now_s):
-        """Start without knowing what the replica has."""
+        """Start with an unknown match index."""
         self.next_index = next_index
         self.match_index = 0
         self.acked_s = NEVER_S
-        self.heard_s = now_s
-        self.sending = None
+        self.last_contact_s = now_s
+        self.pending_snapshot = None
         self.offset = 0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _ConfigurationAt:
+class _IndexedConfiguration:
     index: int
     configuration: Configuration
 
@@ -90,7 +91,7 @@
     """Term, log, role and pending output of one replica."""
 
     def __init__(self, *, me, settings, random, stored, now_s):
-        """Take up what the disk held."""
+        """Restore the state from the data that was read from disk."""
         self.me: InstanceId = me
         self.settings = settings
         self.random = random
@@ -106,26 +107,26 @@
         self.applied = self.log.base_index
         self.role = RaftRole.FOLLOWER
         self.leader = None
-        self.heard_s = NEVER_S
+        self.leader_contact_s = NEVER_S
         self.votes = set()
         self.progress = {}
-        self.leaving_s = {}
+        self.leave_requested_s = {}
         self.set_change = None
         self.first_own_index = 0
         self.elected_s = NEVER_S
         self.transfer_to = None
         self.transfer_due_s = 0.0
         self.heartbeat_due_s = 0.0
-        self.receiving = bytearray()
-        self.receiving_index = None
+        self.snapshot_buffer = bytearray()
+        self.snapshot_buffer_id = None
         self.configurations = []
-        self.use_configuration(
+        self.add_configuration(
             self.log.base_index,
             base.configuration if base else Configuration(),
         )
         for entry in stored.entries:
             self.log.append(entry)
-            self._note_configuration(entry)
+            self._record_configuration(entry)
         self.synced = self.log.last_index
         self._clear_output()
         self.election_due_s = 0.0
@@ -133,7 +134,7 @@
 
     @property
     def blank(self):
-        """True on a replica that remembers neither votes nor log."""
+        """True on a replica that has no stored votes and no stored log."""
         return self.snapshot is None
 
     @property
@@ -143,36 +144,39 @@
 
     @property
     def configuration_index(self):
-        """Index of the entry that the replica set came with."""
+        """Index of the entry or snapshot that set the replica set."""
         return self.configurations[-1].index
 
     @property
     def is_voter(self):
-        """True when this replica counts."""
+        """True when this replica is a voter of the latest replica set."""
         return self.me in self.configuration.voter_names
 
     def reset_election_timer(self, now_s):
-        """Wait for the leader again, for a time drawn anew."""
+        """Restart the election timer with a new random timeout."""
         factor = 1.0 + self.random.random()
         self.election_due_s = now_s + factor * self._election_s
 
     @property
     def _election_s(self):
-        """Shortest silence after which this replica asks for votes."""
+        """Minimum election timeout of this replica at present."""
         settings = self.settings
-        knew_leader = max(self.heard_s, self.elected_s) > NEVER_S
-        if knew_leader or settings.first_election_s is None:
+        had_leader = max(self.leader_contact_s, self.elected_s) > NEVER_S
+        if had_leader or settings.first_election_s is None:
             return settings.election_s
         return settings.first_election_s
 
     def set_term(self, term, voted_for):
-        """Take a term and a vote, to be written."""
+        """Set the term and the vote, and queue them for writing."""
         self.term = term
         self.voted_for = voted_for
         self.writes.append(SaveVote(term=term, voted_for=voted_for))
 
-    def follow(self, term, leader, now_s):
-        """Become a follower, in a later term or of a leader now known."""
+    def become_follower(self, term, leader, now_s):
+        """Become a follower, in a later term or of a leader now known.
+
+        A ``leader`` of None means that the leader is unknown.
+        """
         if term > self.term:
             self.set_term(term, None)
         if self.role is not RaftRole.FOLLOWER:
@@ -182,28 +186,29 @@
         self.transfer_to = None
 
     def append(self, entries):
-        """Put entries at the end of the log, to be written."""
+        """Append entries to the log and queue them for writing."""
         for entry in entries:
             self.log.append(entry)
-            self._note_configuration(entry)
+            self._record_configuration(entry)
         self.writes.append(SaveEntries(entries=tuple(entries)))
 
-    def cut_from(self, index):
-        """Drop entries that another leader's entries replace."""
+    def truncate_from(self, index):
+        """Drop the entries from an index on that conflict with the leader."""
         if index <= self.commit:
-            # A committed entry would be lost: two leaders of one term, or a
-            # quorum that forgot.  Stopping this replica shows it at once,
-            # while going on would spread the loss.
-            raise InvariantError(f"committed entry {index} would be dropped")
-        self.log.cut_from(index)
+            # A committed entry would be lost, because of two leaders in one
+            # term or a quorum that lost its data.  Stopping this replica
+            # makes the fault visible at once; continuing would replicate
+            # the loss.
+            raise InvariantError(f"committed entry {index} would be truncated")
+        self.log.truncate_from(index)
         self.synced = min(self.synced, index - 1)
         while self.configuration_index >= index:
             self.configurations.pop()
 
-    def use_configuration(self, index, configuration):
-        """Take up a replica set from an entry or a snapshot."""
+    def add_configuration(self, index, configuration):
+        """Record a replica set from an entry or a snapshot."""
         self.configurations.append(
-            _ConfigurationAt(index=index, configuration=configuration)
+            _IndexedConfiguration(index=index, configuration=configuration)
         )
 
     def configuration_at(self, index):
@@ -211,7 +216,7 @@
         found = [at for at in self.configurations if at.index <= index]
         return found[-1].configuration
 
-    def forget_configurations(self, index):
+    def compact_configurations(self, index):
         """Drop replica sets that were replaced at or before an index."""
         while (
             len(self.configurations) > 1
@@ -225,8 +230,8 @@
         self.messages = []
         self.installed = None
 
-    def _note_configuration(self, entry):
+    def _record_configuration(self, entry):
         if entry.kind is EntryKind.CONFIGURATION:
-            self.use_configuration(
+            self.add_configuration(
                 entry.index, CONFIGURATION_CODEC.decode(entry.data)
             )
--- a/currantdeal/consensus/replica_set.py
+++ b/currantdeal/consensus/replica_set.py
@@ -1,9 +1,9 @@
-"""Membership changes of a Raft group, as decided by its leader.
+"""Rules by which the leader of a Raft group changes its membership.
 
-A voter that does not answer, or leaves, is removed as soon as the rest has a
-smaller quorum without it or a learner has caught up.  An even number of voters
-tolerates no more failures than the next smaller odd one, so a surplus replica
-stays a learner.
+A voter that does not answer, or leaves, is removed as soon as the remaining
+voters have a smaller quorum without it or a learner has caught up.  An even
+number of voters tolerates no more failures than the next smaller odd number,
+so a surplus replica stays a learner.
 """
 
 from dataclasses import dataclass
@@ -12,10 +12,11 @@
 from currantdeal.consensus.configuration import Configuration
 from currantdeal.core import InstanceId
 
-ALONE_S = 2.5
-"""Time without a leader after which a member asks whether it is still one.
+REJOIN_AFTER_S = 2.5
+"""Time without a leader after which a member asks to join again.
 
-A member that was replaced while it was away is not notified.
+A member that was replaced while it was unreachable is not notified of its
+removal.
 """
 
 
@@ -29,18 +30,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MemberHealth:
-    """What the leader knows of the members, itself included.
+    """Health of the members, the leader included, as tracked by the leader.
 
     Parameters
     ----------
     answering : frozenset of InstanceId
         Members that have answered within an election timeout.
     silent : frozenset of InstanceId
-        Members that have not answered for so long that they may be gone.
+        Members that have not answered for so long that they are considered
+        permanently unreachable.
     leaving : frozenset of InstanceId
-        Members that have said that they stop.
+        Members that have asked to leave because they stop.
     caught_up : frozenset of InstanceId
-        Answering learners that hold all that is committed.
+        Answering learners whose log includes all committed entries.
     """
 
     answering: frozenset[InstanceId] = frozenset()
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReplicaSetChange:
-    """One step to another replica set: a voter is added or removed."""
+    """One membership change: a learner is promoted or a member removed."""
 
     replica: InstanceId
     reason: ChangeReason
@@ -59,12 +61,12 @@
 
 
 def next_change(configuration, health):
-    """Return the next ``ReplicaSetChange``, or None if the set is good.
+    """Return the next ``ReplicaSetChange``, or None if no change is needed.
 
     Examples
     --------
-    Of three voters one is missing.  Its successor becomes a voter only after
-    it was removed: before that, a quorum might need both.
+    One of three voters is silent.  It is removed before its successor is
+    promoted; with both as voters, a quorum might need both.
 
     >>> from currantdeal.consensus import Configuration, Replica
     >>> a, b, c, d = (Replica(instance=n, address="") for n in "abcd")
@@ -81,51 +83,54 @@
     ('d', ('a', 'b', 'd'))
     """
     return (
-        _drop_learner(configuration, health)
-        or _drop_silent_voter(configuration, health)
+        _remove_learner(configuration, health)
+        or _remove_silent_voter(configuration, health)
         or _replace_leaving_voter(configuration, health)
-        or _promote(configuration, health)
+        or _promote_learner(configuration, health)
     )
 
 
 def may_give_way(configuration, instance):
-    """Return whether a member that leaves can be spared or replaced."""
+    """Return whether a leaving member can be removed or replaced."""
     if instance in configuration.voter_names:
         return _is_even(configuration) or bool(configuration.learners)
     return instance in configuration.learner_names
 
 
 def takes_part(configuration, instance, *, alone_s):
-    """Return whether a replica that is not blank need not ask to join.
+    """Return whether a replica is a member and need not ask to join.
+
+    It applies to replicas that are not blank; a blank one always asks.
 
     Parameters
     ----------
     alone_s : float
-        Seconds since it last knew a leader.
+        Seconds since the replica last had a leader.
     """
-    return instance in configuration.member_names and alone_s < ALONE_S
+    return instance in configuration.member_names and alone_s < REJOIN_AFTER_S
 
 
-def _drop_learner(configuration, health):
+def _remove_learner(configuration, health):
     for name in configuration.learner_names:
         if name in health.silent:
-            return _without(configuration, name, ChangeReason.SILENT)
+            return _removal(configuration, name, ChangeReason.SILENT)
         if name in health.leaving:
-            return _without(configuration, name, ChangeReason.LEAVING)
+            return _removal(configuration, name, ChangeReason.LEAVING)
     return None
 
 
-def _drop_silent_voter(configuration, health):
-    missing = [n for n in configuration.voter_names if n in health.silent]
-    if not missing:
+def _remove_silent_voter(configuration, health):
+    silent = [n for n in configuration.voter_names if n in health.silent]
+    if not silent:
         return None
-    left = len(configuration.voters) - len(missing)
-    fewer_needed = left // 2 + 1 < configuration.quorum
+    remaining = len(configuration.voters) - len(silent)
+    fewer_needed = remaining // 2 + 1 < configuration.quorum
     if not (fewer_needed or health.caught_up):
-        # Without a successor, a set of odd size bears as much with it as
-        # without it, and it may come back with its disk.
+        # Without a successor, removing one voter from a set of odd size does
+        # not improve fault tolerance, and the voter may return with its disk
+        # intact.
         return None
-    return _without(configuration, missing[0], ChangeReason.SILENT)
+    return _removal(configuration, silent[0], ChangeReason.SILENT)
 
 
 def _replace_leaving_voter(configuration, health):
@@ -133,19 +138,20 @@
     if not leaving:
         return None
     if _is_even(configuration):
-        return _without(configuration, leaving[0], ChangeReason.LEAVING)
-    # It still answers: its successor counts first, so that the majority is
-    # never smaller than before.
-    return _with_voter(configuration, health)
+        return _removal(configuration, leaving[0], ChangeReason.LEAVING)
+    # The leaving voter still answers, so its successor is promoted first.
+    # The quorum is then never smaller than before.
+    return _promotion(configuration, health)
 
 
-def _promote(configuration, health):
+def _promote_learner(configuration, health):
     if not health.answering.issuperset(configuration.voter_names):
-        # A voter that is missing for now may be gone.  With a newcomer
-        # beside it a majority would need the newcomer, too.
+        # A voter that does not answer may be permanently unreachable.  If a
+        # learner were promoted in addition, a quorum would need the new
+        # voter, too.
         return None
     if _is_even(configuration) or len(health.caught_up) > 1:
-        return _with_voter(configuration, health)
+        return _promotion(configuration, health)
     return None
 
 
@@ -153,7 +159,7 @@
     return len(configuration.voters) % 2 == 0
 
 
-def _without(configuration, name, reason):
+def _removal(configuration, name, reason):
     return ReplicaSetChange(
         replica=name,
         reason=reason,
@@ -161,7 +167,7 @@
     )
 
 
-def _with_voter(configuration, health):
+def _promotion(configuration, health):
     for name in configuration.learner_names:
         if name in health.caught_up:
             return ReplicaSetChange(
--- a/currantdeal/consensus/replication.py
+++ b/currantdeal/consensus/replication.py
@@ -1,8 +1,8 @@
-"""The leader's part: replication, commit, replica set and hand-over.
+"""Leader side of Raft: replication, commit, membership and transfer.
 
 Raft's log replication with pipelining and batching (thesis [1]_, section
-10.2): entries go to the followers while the leader's own disk still syncs
-them, and the leader counts itself only after that.
+10.2): entries are sent to the followers while the leader's own disk still
+syncs them, and the leader counts itself for the commit only after its sync.
 
 References
 ----------
@@ -20,18 +20,19 @@
 from currantdeal.consensus.raft import NEVER_S, Progress, RaftRole
 from currantdeal.consensus.replica_set import MemberHealth, next_change
 
-LEAVING_S = 1.0
-"""Time for which a replica's word that it stops holds, unless repeated.
+LEAVE_REQUEST_TTL_S = 1.0
+"""Time after which a leave request expires unless it is repeated.
 
-One that stopped and was started again has not left.
+A replica that was stopped and started again must not be removed because of
+an old request.
 """
 
 
-def lead(raft, now_s):
+def become_leader(raft, now_s):
     """Become leader of the current term.
 
-    An empty entry is appended, because entries of earlier terms only count
-    as committed together with one of the leader's own term (Raft, section
+    An empty entry is appended, because entries of earlier terms are only
+    committed together with an entry of the leader's own term (Raft, section
     5.4.2).
     """
     raft.role = RaftRole.LEADER
@@ -39,7 +40,7 @@
     raft.elected_s = now_s
     raft.transfer_to = None
     raft.progress = {}
-    raft.leaving_s = {}
+    raft.leave_requested_s = {}
     raft.first_own_index = raft.log.last_index + 1
     append(raft, (b"",), EntryKind.NOTHING, now_s)
 
@@ -52,22 +53,26 @@
         for n, data in enumerate(payloads)
     ]
     raft.append(entries)
-    _follow_configuration(raft, now_s)
+    _update_progress(raft, now_s)
     broadcast(raft, now_s)
     return entries
 
 
 def change_configuration(raft, configuration, now_s):
-    """Append a new replica set; it counts from now on."""
+    """Append a new replica set, which takes effect as soon as it is logged."""
     data = CONFIGURATION_CODEC.encode(configuration)
     return append(raft, (data,), EntryKind.CONFIGURATION, now_s)[0]
 
 
 def tick(raft, now_s):
-    """Send heartbeats, adapt the replica set, step down without a quorum."""
+    """Send due heartbeats, adapt the replica set, step down if needed.
+
+    The leader steps down when no quorum has answered its heartbeats for
+    twice the minimum election timeout.
+    """
     limit_s = 2.0 * raft.settings.election_s
     if now_s - max(quorum_acked_s(raft, now_s), raft.elected_s) > limit_s:
-        raft.follow(raft.term, None, now_s)
+        raft.become_follower(raft.term, None, now_s)
         return
     if raft.transfer_to is not None and now_s >= raft.transfer_due_s:
         raft.transfer_to = None
@@ -77,17 +82,17 @@
 
 
 def broadcast(raft, now_s):
-    """Send every other member what it lacks, or a heartbeat."""
+    """Send every other member its missing entries, or a heartbeat."""
     raft.heartbeat_due_s = now_s + raft.settings.heartbeat_s
     for name in raft.progress:
         _send(raft, name, now_s)
 
 
 def quorum_acked_s(raft, now_s):
-    """Return the latest time since which a quorum has known this leader.
+    """Return the send time of the last heartbeat that a quorum answered.
 
-    It is the time at which a heartbeat was sent that a quorum, this leader
-    included, has answered; a later leader can only be elected after it.
+    The quorum includes this leader.  A later leader can only be elected
+    after this time.
     """
     times = [
         now_s if name == raft.me else _acked_s(raft, name)
@@ -97,7 +102,7 @@
 
 
 def on_append_answer(raft, answer, now_s):
-    """Take in how far a follower has come."""
+    """Update a follower's progress and advance the commit index."""
     peer = raft.progress.get(answer.sender)
     if raft.role is not RaftRole.LEADER or answer.term != raft.term:
         return
@@ -107,15 +112,18 @@
         peer.match_index = 0
         _start_snapshot(raft, answer.sender, peer, now_s)
         return
-    peer.heard_s = now_s
+    peer.last_contact_s = now_s
     peer.acked_s = max(peer.acked_s, answer.sent_s)
     if not answer.accepted:
-        _step_back(raft, answer, peer, now_s)
+        _handle_rejection(raft, answer, peer, now_s)
         return
     peer.match_index = max(peer.match_index, answer.match_index)
     peer.next_index = max(peer.next_index, peer.match_index + 1)
-    if peer.sending and peer.match_index >= peer.sending.index:
-        peer.sending = None
+    if (
+        peer.pending_snapshot
+        and peer.match_index >= peer.pending_snapshot.index
+    ):
+        peer.pending_snapshot = None
     _commit(raft, now_s)
     if raft.transfer_to == answer.sender:
         _send_timeout_now(raft)
@@ -123,14 +131,15 @@
         _send(raft, answer.sender, now_s)
 
 
-def _step_back(raft, answer, peer, now_s):
-    """Send a follower the entries from where its log agrees.
+def _handle_rejection(raft, answer, peer, now_s):
+    """Resend entries from the last index at which the logs may match.
 
-    What does not reach farther back waits for the next heartbeat, so that two
-    members which disagree never resend without a pause.
+    If the rejection does not lower the next index, the leader waits for the
+    next heartbeat.  Otherwise two members whose logs keep differing would
+    exchange messages in an endless loop.
     """
     before = peer.next_index
-    # Less than it once held: its disk was lost.
+    # A lower index than before means that the follower's disk was lost.
     peer.match_index = min(peer.match_index, answer.match_index)
     peer.next_index = answer.match_index + 1
     if peer.next_index < before:
@@ -138,38 +147,39 @@
 
 
 def on_snapshot_answer(raft, answer, now_s):
-    """Go on with a snapshot."""
+    """Send the next piece of a snapshot."""
     peer = raft.progress.get(answer.sender)
     if raft.role is not RaftRole.LEADER or answer.term != raft.term:
         return
-    if peer is None or peer.sending is None:
+    if peer is None or peer.pending_snapshot is None:
         return
-    peer.heard_s = now_s
+    peer.last_contact_s = now_s
     if not answer.blank:
         peer.acked_s = max(peer.acked_s, answer.sent_s)
-    if answer.index == peer.sending.index:
+    if answer.index == peer.pending_snapshot.index:
         peer.offset = answer.offset
-        _send_piece(raft, answer.sender, peer, now_s)
+        _send_snapshot_piece(raft, answer.sender, peer, now_s)
 
 
 def advance_commit(raft):
-    """Commit what a quorum of voters has on synced disk."""
+    """Commit the entries that a quorum of voters has synced to disk."""
     if raft.role is not RaftRole.LEADER:
         return
-    held = [
+    match_indexes = [
         raft.synced if name == raft.me else _match_index(raft, name)
         for name in raft.configuration.voter_names
     ]
-    agreed = sorted(held, reverse=True)[raft.configuration.quorum - 1]
+    agreed = sorted(match_indexes, reverse=True)[raft.configuration.quorum - 1]
     if agreed > raft.commit and raft.log.term_at(agreed) == raft.term:
         raft.commit = agreed
 
 
 def _commit(raft, now_s):
-    """Commit what can be; tells the others at once when it is the first.
+    """Advance the commit index; broadcast the first commit of the term.
 
-    After all processes were killed, entries that follow another replica have
-    no routes, and refuse their callers, until it knows what is committed.
+    After a restart of all processes, entries that follow another replica have
+    no routes and refuse their callers until that replica has received the
+    commit index.  It must not wait for the next heartbeat.
     """
     was_ready = raft.commit >= raft.first_own_index
     advance_commit(raft)
@@ -178,7 +188,7 @@
 
 
 def transfer(raft, now_s):
-    """Hand leadership to the voter that has most of the log."""
+    """Transfer leadership to the voter with the most complete log."""
     others = [n for n in raft.configuration.voter_names if n != raft.me]
     if not others:
         return
@@ -198,10 +208,12 @@
 
 
 def silent_members(raft, now_s):
-    """Return who may be gone for good, as far as this leader knows."""
+    """Return the members that have not answered for ``silent_s``."""
     limit_s = now_s - raft.settings.silent_s
     return frozenset(
-        name for name, peer in raft.progress.items() if peer.heard_s <= limit_s
+        name
+        for name, peer in raft.progress.items()
+        if peer.last_contact_s <= limit_s
     )
 
 
@@ -210,23 +222,27 @@
         return
     if raft.commit < raft.first_own_index:
         return
-    change = next_change(raft.configuration, _health(raft, now_s))
+    change = next_change(raft.configuration, _member_health(raft, now_s))
     if change is not None:
         raft.set_change = change
         change_configuration(raft, change.configuration, now_s)
 
 
-def _health(raft, now_s):
-    recent_s = now_s - raft.settings.election_s
-    told_s = now_s - LEAVING_S
+def _member_health(raft, now_s):
+    answered_since_s = now_s - raft.settings.election_s
+    leave_valid_from_s = now_s - LEAVE_REQUEST_TTL_S
     answering = frozenset(
-        name for name, peer in raft.progress.items() if peer.acked_s > recent_s
+        name
+        for name, peer in raft.progress.items()
+        if peer.acked_s > answered_since_s
     )
     return MemberHealth(
         answering=answering | {raft.me},
         silent=silent_members(raft, now_s),
         leaving=frozenset(
-            name for name, at_s in raft.leaving_s.items() if at_s > told_s
+            name
+            for name, at_s in raft.leave_requested_s.items()
+            if at_s > leave_valid_from_s
         ),
         caught_up=frozenset(
             name
@@ -237,20 +253,20 @@
     )
 
 
-def _follow_configuration(raft, now_s):
+def _update_progress(raft, now_s):
     members = raft.configuration.member_names
-    wanted = [name for name in members if name != raft.me]
+    peers = [name for name in members if name != raft.me]
     raft.progress = {
         name: raft.progress.get(name)
         or Progress(next_index=raft.log.last_index, now_s=now_s)
-        for name in wanted
+        for name in peers
     }
 
 
 def _send(raft, name, now_s):
     peer = raft.progress[name]
-    if peer.sending is not None:
-        _send_piece(raft, name, peer, now_s)
+    if peer.pending_snapshot is not None:
+        _send_snapshot_piece(raft, name, peer, now_s)
         return
     previous = peer.next_index - 1
     previous_term = raft.log.term_at(previous)
@@ -281,15 +297,15 @@
 
 
 def _start_snapshot(raft, name, peer, now_s):
-    if peer.sending is None:
-        peer.sending = raft.snapshot
+    if peer.pending_snapshot is None:
+        peer.pending_snapshot = raft.snapshot
         peer.offset = 0
         peer.next_index = raft.snapshot.index + 1
-        _send_piece(raft, name, peer, now_s)
+        _send_snapshot_piece(raft, name, peer, now_s)
 
 
-def _send_piece(raft, name, peer, now_s):
-    snapshot = peer.sending
+def _send_snapshot_piece(raft, name, peer, now_s):
+    snapshot = peer.pending_snapshot
     end = peer.offset + raft.settings.piece_bytes
     raft.early.append(
         SnapshotPiece(
--- a/currantdeal/consensus/tests/builders.py
+++ b/currantdeal/consensus/tests/builders.py
@@ -1,4 +1,4 @@
-"""Replicas of the log in one process, without disks or a network."""
+"""A cluster of Raft nodes in one process, without disks or a network."""
 
 import random
 
@@ -13,22 +13,22 @@
 
 NAMES = ("i1", "i2", "i3")
 
-MOST_MESSAGES = 1_000
-"""Messages of one moment, beyond which they are taken to have no end."""
+MAX_MESSAGES_PER_STEP = 1_000
+"""Number of messages in one step above which resends are taken as endless."""
 
 
-class Machines:
-    """Replicas that hear each other at once, but for the cut ones."""
+class Cluster:
+    """Nodes whose messages are delivered at once, except isolated nodes."""
 
     def __init__(self, *, voters=NAMES, names=NAMES, settings=None):
-        """Start the first replica set, and blank replicas besides."""
+        """Start the initial voters, and the other named nodes as blank."""
         self.settings = settings or NodeSettings()
         first = Configuration(
             voters=tuple(Replica(instance=n, address="") for n in voters)
         )
         start = Snapshot(index=0, term=0, configuration=first)
         self.now_s = 0.0
-        self.cut = set()
+        self.isolated = set()
         self.delivered = 0
         self.nodes = {
             name: self._start(
@@ -39,7 +39,7 @@
         self.installed = set()
 
     def run(self, seconds):
-        """Let time pass, with every message delivered."""
+        """Advance the clock step by step and deliver all messages."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += 0.05
@@ -49,28 +49,30 @@
 
     def _deliver_all(self):
         before = self.delivered
-        while any([self._pump(name) for name in self.nodes]):
-            assert self.delivered - before < MOST_MESSAGES, "without end"
+        while any([self._process_output(name) for name in self.nodes]):
+            assert self.delivered - before < MAX_MESSAGES_PER_STEP, (
+                "the nodes send messages in an endless loop"
+            )
 
     def leader(self):
-        """Return the machine that leads, once there is one."""
+        """Return the leader, waiting until there is a ready one."""
         for _ in range(100):
             ready = [
                 node
                 for name, node in self.nodes.items()
-                if node.is_ready and name not in self.cut
+                if node.is_ready and name not in self.isolated
             ]
             if ready:
                 return ready[0]
             self.run(0.1)
-        raise AssertionError("nobody leads")
+        raise AssertionError("no leader was elected")
 
     def name_of(self, node):
-        """Return a machine's name."""
+        """Return the name of a node."""
         return next(n for n, found in self.nodes.items() if found is node)
 
     def restart(self, name):
-        """Start a machine again with what it had on its disk."""
+        """Restart a node with the data on its disk."""
         raft = self.nodes[name]._raft
         base = raft.log.base_index
         entries = raft.log.after(base, limit=100, max_bytes=1_000_000)
@@ -85,7 +87,7 @@
         )
 
     def lose_disk(self, name):
-        """Start a machine again with an empty disk."""
+        """Restart a node with an empty disk."""
         self.nodes[name] = self._start(name, Stored())
 
     def _start(self, name, stored):
@@ -97,13 +99,13 @@
             now_s=self.now_s,
         )
 
-    def _pump(self, name):
+    def _process_output(self, name):
         output = self.nodes[name].take_output()
         self.nodes[name].synced(output.last_index)
         if output.installed:
             self.installed.add(name)
         for message in output.early + output.messages:
             self.delivered += 1
-            if not {name, message.to} & self.cut:
+            if not {name, message.to} & self.isolated:
                 self.nodes[message.to].receive(message, self.now_s)
         return bool(output.early or output.messages or output.committed)
--- a/currantdeal/consensus/tests/explore.py
+++ b/currantdeal/consensus/tests/explore.py
@@ -1,15 +1,15 @@
-"""Command that runs many schedules and prints the seed of a broken one."""
+"""Command that runs many schedules and prints the seed of a failed one."""
 
 import time
 from collections import Counter
 
 import click
 
-from currantdeal.consensus.tests.schedules import STEPS, World
+from currantdeal.consensus.tests.schedules import STEPS, Simulation
 
 
-class Broken(click.ClickException):
-    """A schedule broke an invariant."""
+class ScheduleFailed(click.ClickException):
+    """A schedule broke an invariant or raised another error."""
 
 
 @click.command()
@@ -17,32 +17,34 @@
 @click.option("--seed", default=0, help="The first seed.")
 @click.option("--steps", default=STEPS, help="Steps of each schedule.")
 def main(seeds, seed, steps):
-    """Run schedules; a broken one is replayed by --seed N --seeds 1."""
+    """Run schedules; replay a failed one with --seed N --seeds 1."""
     start_s = time.monotonic()
-    total = Counter()
-    shown_s = start_s
+    total_counts = Counter()
+    reported_s = start_s
     for number in range(seed, seed + seeds):
-        total.update(run_schedule(number, steps))
-        if time.monotonic() - shown_s > 5.0:
-            shown_s = time.monotonic()
+        total_counts.update(run_schedule(number, steps))
+        if time.monotonic() - reported_s > 5.0:
+            reported_s = time.monotonic()
             click.echo(f"{number - seed + 1} of {seeds}", err=True)
     elapsed_s = time.monotonic() - start_s
-    figures = ", ".join(f"{name} {n}" for name, n in sorted(total.items()))
+    counts = ", ".join(
+        f"{name} {n}" for name, n in sorted(total_counts.items())
+    )
     click.echo(f"{seeds} schedules from seed {seed} in {elapsed_s:.0f} s")
-    click.echo(f"no invariant broken; {figures}")
+    click.echo(f"no invariant broken; {counts}")
 
 
 def run_schedule(seed, steps=STEPS):
-    """Return the counts of a schedule, or raise ``Broken``."""
-    world = World(seed=seed)
+    """Return the counts of a schedule, or raise ``ScheduleFailed``."""
+    simulation = Simulation(seed=seed)
     try:
-        world.run(steps)
+        simulation.run(steps)
     except Exception as exc:
-        raise Broken(
+        raise ScheduleFailed(
             f"seed {seed}: {type(exc).__name__}: {exc}\n"
             f"replay: bin/explore --seed {seed} --seeds 1 --steps {steps}"
         ) from exc
-    return world.counts
+    return simulation.counts
 
 
 if __name__ == "__main__":
--- a/currantdeal/consensus/tests/linearizability.py
+++ b/currantdeal/consensus/tests/linearizability.py
@@ -1,4 +1,4 @@
-"""A small checker of recorded histories, after Wing and Gong [1]_.
+"""Linearizability checker for recorded histories, after Wing and Gong [1]_.
 
 References
 ----------
@@ -18,10 +18,10 @@
     Parameters
     ----------
     call_s, return_s : float
-        Real times between which it took effect; the return of a call
-        without an answer is infinite, and it may never take effect.
+        Real times between which the call took effect.  The return time of a
+        call without an answer is infinite; such a call may never take effect.
     ask, answer : object
-        Hashable; the answer is None when it is not known.
+        Hashable request and answer; the answer is None if it is unknown.
     """
 
     call_s: float
@@ -31,38 +31,38 @@
 
 
 def is_linearizable(history, *, start, step):
-    """Return whether some order of the operations explains all answers.
+    """Return whether a sequential order of the operations fits all answers.
 
     Parameters
     ----------
     history : sequence of Operation
         Operations on one object.
     start : object
-        Hashable state at the beginning.
+        Hashable initial state.
     step : callable
-        Takes a state and an ask; returns the next state and the answer.
+        Takes a state and a request; returns the next state and the answer.
     """
     history = sorted(history, key=lambda op: op.call_s)
-    known = sum(1 << n for n, op in enumerate(history) if op.answer)
+    answered = sum(1 << n for n, op in enumerate(history) if op.answer)
     todo = [(0, start)]
     seen = set(todo)
     while todo:
         done, state = todo.pop()
-        if done & known == known:
+        if done & answered == answered:
             return True
-        for place in _next_places(history, done):
-            op = history[place]
-            after, answer = step(state, op.ask)
+        for position in _next_positions(history, done):
+            op = history[position]
+            next_state, answer = step(state, op.ask)
             if op.answer is not None and op.answer != answer:
                 continue
-            found = (done | 1 << place, after)
-            if found not in seen:
-                seen.add(found)
-                todo.append(found)
+            candidate = (done | 1 << position, next_state)
+            if candidate not in seen:
+                seen.add(candidate)
+                todo.append(candidate)
     return False
 
 
-def _next_places(history, done):
-    waiting = [n for n in range(len(history)) if not done >> n & 1]
-    first_return_s = min(history[n].return_s for n in waiting)
-    return [n for n in waiting if history[n].call_s <= first_return_s]
+def _next_positions(history, done):
+    remaining = [n for n in range(len(history)) if not done >> n & 1]
+    first_return_s = min(history[n].return_s for n in remaining)
+    return [n for n in remaining if history[n].call_s <= first_return_s]
--- a/currantdeal/consensus/tests/mutations.py
+++ b/currantdeal/consensus/tests/mutations.py
@@ -1,7 +1,7 @@
-"""Command that breaks the code in many places and sees each noticed.
+"""Mutation test: breaks the code in one place at a time and runs a check.
 
-Every mutation is made in a copy of the source; then its check runs, which
-has to fail.  The result is printed as the table of
+Every mutation is made in a copy of the source, and its check must then fail.
+The result is printed as the table of
 ``docs/measurements/mutations.md``.
 """
 
@@ -25,9 +25,9 @@
 
 
 def pytest(*paths):
-    """Return the arguments of a run of some tests."""
-    full = [f"currantdeal/{path}" for path in paths]
-    return ("pytest", "-x", "-q", "-p", "no:cacheprovider", *full)
+    """Return the module and arguments that run the tests below some paths."""
+    full_paths = [f"currantdeal/{path}" for path in paths]
+    return ("pytest", "-x", "-q", "-p", "no:cacheprovider", *full_paths)
 
 
 NODE = pytest("consensus/tests/test_node.py")
@@ -38,18 +38,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Mutation:
-    """One broken place.
+    """One mutation of the source and the check that must detect it.
 
     Parameters
     ----------
     title : str
-        What is broken.
+        Description of the broken behaviour.
     path : str
-        The file, below the package.
+        Path of the file, relative to the package.
     old, new : str
-        Text that stands there once, and what replaces it.
+        Text that occurs exactly once in the file, and its replacement.
     check : tuple of str
-        Module and arguments that must fail.
+        Module and its arguments, as for ``python -m``; the run must fail.
     """
 
     title: str
@@ -138,7 +138,7 @@
         path="consensus/replication.py",
         old="            if name in answering\n"
         "            and raft.progress[name].match_index >= raft.commit\n",
-        new="            if recent_s\n",
+        new="            if answered_since_s\n",
         check=NODE,
     ),
     Mutation(
@@ -151,7 +151,8 @@
     Mutation(
         title="votes without comparing logs",
         path="consensus/elections.py",
-        old="    return theirs >= (raft.log.last_term, raft.log.last_index)",
+        old="    return candidate_log >= "
+        "(raft.log.last_term, raft.log.last_index)",
         new="    return True",
         check=EXPLORE,
     ),
@@ -173,8 +174,8 @@
     Mutation(
         title="a replica without memory votes",
         path="consensus/elections.py",
-        old="        and not raft.blank\n        and _may_win",
-        new="        and _may_win",
+        old="        and not raft.blank\n        and _is_up_to_date",
+        new="        and _is_up_to_date",
         check=NODE,
     ),
     Mutation(
@@ -187,8 +188,8 @@
     Mutation(
         title="entries are taken without matching the one before",
         path="consensus/following.py",
-        old="    return known == request.previous_term",
-        new="    return known is not None",
+        old="    return local_term == request.previous_term",
+        new="    return local_term is not None",
         check=EXPLORE,
     ),
     Mutation(
@@ -217,7 +218,8 @@
     Mutation(
         title="a leader without a quorum goes on",
         path="consensus/replication.py",
-        old="        raft.follow(raft.term, None, now_s)\n        return\n",
+        old="        raft.become_follower(raft.term, None, now_s)\n"
+        "        return\n",
         new="        pass\n",
         check=NODE,
     ),
@@ -232,8 +234,9 @@
     Mutation(
         title="a new leader does not wait for earlier leases",
         path="consensus/leases.py",
-        old="        self._unknown_until_s = elected_s + self._longest_s",
-        new="        self._unknown_until_s = elected_s",
+        old="        self._earlier_leases_end_s = "
+        "elected_s + self._max_lease_s",
+        new="        self._earlier_leases_end_s = elected_s",
         check=EXPLORE,
     ),
     Mutation(
@@ -285,7 +288,7 @@
 @click.command()
 @click.option("--only", default="", help="Part of the title.")
 def main(only):
-    """Make each mutation and print whether its check failed."""
+    """Apply each mutation and print whether its check failed."""
     wanted = [each for each in MUTATIONS if only in each.title]
     click.echo("| mutation | file | check | noticed | s |")
     click.echo("|---|---|---|---|---|")
--- a/currantdeal/consensus/tests/schedules.py
+++ b/currantdeal/consensus/tests/schedules.py
@@ -1,9 +1,10 @@
-"""Seeded schedules over a few consensus machines and a bag of messages.
+"""Randomised fault schedules over a simulated Raft group, with fixed seeds.
 
-A model check of the algorithm: loss, duplication and reordering of messages,
-crashes with loss of writes that were not synced, lost disks, cut-off
-replicas, changes of the replica set, snapshots, hand-over, and clocks that
-run at different rates.  ``Invariants`` looks at every step.
+This is a randomised model check of the algorithm.  The faults are loss,
+duplication and reordering of messages, crashes that lose unsynced writes,
+lost disks, isolated replicas and clocks that run at different rates; they are
+mixed with changes of the replica set, snapshots and leadership transfers.
+``Invariants`` checks every step.
 """
 
 import random
@@ -36,9 +37,9 @@
 )
 LEASE_S = 2.0
 STEPS = 600
-VIEWERS = 2
+LEASE_HOLDER_COUNT = 2
 
-# Actions and how often each is tried, relative to the others.
+# Relative frequency of the actions.
 ACTIONS = {
     "deliver": 100,
     "duplicate": 3,
@@ -60,7 +61,7 @@
 
 
 class Disk:
-    """What is synced at one replica."""
+    """Synced data on the disk of one replica."""
 
     def __init__(self, stored):
         self.stored = stored
@@ -79,8 +80,8 @@
             first = write.entries[0].index
             keep = tuple(e for e in old.entries if e.index < first)
             base = old.snapshot.index if old.snapshot else 0
-            fresh = tuple(e for e in write.entries if e.index > base)
-            self.stored = replace(old, entries=keep + fresh)
+            new = tuple(e for e in write.entries if e.index > base)
+            self.stored = replace(old, entries=keep + new)
 
     def holds(self, index, term):
         snapshot = self.stored.snapshot
@@ -92,7 +93,7 @@
 
 
 class Process:
-    """A running replica: its machine, what it applied, its lease table."""
+    """A running replica: its node, applied index and lease table."""
 
     def __init__(self, node, applied):
         self.node = node
@@ -101,21 +102,21 @@
         self.leases = None
 
 
-class Viewer:
-    """An instance that follows the view under a lease."""
+class LeaseHolder:
+    """An instance that uses its view of the state under a lease."""
 
     def __init__(self):
         self.version = 0
         self.lease_ends_s = 0.0
 
 
-class World:
-    """One schedule.
+class Simulation:
+    """The simulated run of one schedule.
 
     Parameters
     ----------
     seed : int
-        Decides everything that happens.
+        Seed of all random decisions.
     """
 
     def __init__(self, *, seed):
@@ -136,21 +137,21 @@
             for n in self.names
         }
         self.lost_disks = 0
-        self.repairing = set()
-        self.may_lose = count // 2
-        self.cut = set()
-        self.bag = []
-        self.viewers = [Viewer() for _ in range(VIEWERS)]
+        self.recovering = set()
+        self.max_lost_disks = count // 2
+        self.isolated = set()
+        self.in_flight = []
+        self.lease_holders = [LeaseHolder() for _ in range(LEASE_HOLDER_COUNT)]
         self.processes = {}
         self.counts = dict.fromkeys(
             ("commits", "elections", "installs", "changes", "in_force"), 0
         )
-        self.invariants = Invariants(world=self)
+        self.invariants = Invariants(simulation=self)
         for name in self.names:
-            self._boot(name)
+            self._start_replica(name)
 
     def run(self, steps=STEPS):
-        """Take steps; ``AssertionError`` tells a broken invariant."""
+        """Run random actions; a broken invariant raises ``AssertionError``."""
         names, weights = list(ACTIONS), list(ACTIONS.values())
         for action in self.random.choices(names, weights, k=steps):
             getattr(self, f"_{action}")()
@@ -160,7 +161,7 @@
         """Return the local monotonic time of a replica."""
         return self.now_s * self.rates[name]
 
-    def _boot(self, name):
+    def _start_replica(self, name):
         stored = self.disks[name].stored
         node = Node(
             me=name,
@@ -172,7 +173,7 @@
         base = stored.snapshot.index if stored.snapshot else 0
         self.processes[name] = Process(node, base)
 
-    def _pick(self, *, leads=None):
+    def _pick_replica(self, *, leads=None):
         ready = [
             name
             for name, process in self.processes.items()
@@ -181,17 +182,17 @@
         ]
         return self.random.choice(ready) if ready else None
 
-    def _act(self, name, ask):
+    def _run_on_node(self, name, call):
         process = self.processes[name]
         try:
-            ask(process.node, self.clock_s(name))
+            call(process.node, self.clock_s(name))
         except InvariantError:
             raise
         except ConsensusError:
             pass
-        self._collect(name)
+        self._process_output(name)
 
-    def _collect(self, name):
+    def _process_output(self, name):
         process = self.processes[name]
         while process.unsynced is None:
             output = process.node.take_output()
@@ -221,55 +222,61 @@
     def _send(self, messages):
         for message in messages:
             self.invariants.on_send(message)
-            if not {message.sender, message.to} & self.cut:
-                self.bag.append(message)
+            if not {message.sender, message.to} & self.isolated:
+                self.in_flight.append(message)
 
     def _deliver(self, *, again=False):
-        if not self.bag:
+        if not self.in_flight:
             return
-        place = self.random.randrange(len(self.bag))
-        message = self.bag[place]
+        position = self.random.randrange(len(self.in_flight))
+        message = self.in_flight[position]
         if not again:
-            self.bag[place] = self.bag[-1]
-            self.bag.pop()
+            self.in_flight[position] = self.in_flight[-1]
+            self.in_flight.pop()
         if callable(message):
             message()
             return
         process = self.processes.get(message.to)
-        if process is None or {message.sender, message.to} & self.cut:
+        if process is None or {message.sender, message.to} & self.isolated:
             return
         if process.unsynced is not None:
             self._sync(message.to)
-            self._collect(message.to)
-        self._act(message.to, lambda node, now: node.receive(message, now))
+            self._process_output(message.to)
+        self._run_on_node(
+            message.to, lambda node, now: node.receive(message, now)
+        )
 
     def _duplicate(self):
         self._deliver(again=True)
 
     def _lose(self):
-        if self.bag:
-            self.bag.pop(self.random.randrange(len(self.bag)))
+        if self.in_flight:
+            self.in_flight.pop(self.random.randrange(len(self.in_flight)))
 
     def _pass_time(self):
         self.now_s += self.random.choice((0.02, 0.05, 0.1, 0.3))
         for name in list(self.processes):
             if self.processes[name].unsynced is None:
-                self._act(name, lambda node, now: node.tick(now))
+                self._run_on_node(name, lambda node, now: node.tick(now))
 
     def _propose(self):
-        name = self._pick(leads=True)
+        name = self._pick_replica(leads=True)
         if name is not None:
             data = self.random.randbytes(4)
-            self._act(name, lambda node, now: node.propose((data,), now))
+            self._run_on_node(
+                name, lambda node, now: node.propose((data,), now)
+            )
 
     def _renew(self):
-        viewer = self.random.choice(self.viewers)
-        sent_s, version = self.now_s, viewer.version
-        name = self._pick(leads=True)
+        holder = self.random.choice(self.lease_holders)
+        sent_s, version = self.now_s, holder.version
+        name = self._pick_replica(leads=True)
         if name is not None:
-            self.bag.append(lambda: self._grant(name, viewer, version, sent_s))
+            self.in_flight.append(
+                lambda: self._grant(name, holder, version, sent_s)
+            )
 
-    def _grant(self, name, viewer, version, sent_s):
+    def _grant(self, name, holder, version, sent_s):
         process = self.processes.get(name)
         if process is None or not process.node.is_ready:
             return
@@ -278,7 +285,7 @@
         now_s = self.clock_s(name)
         table = self.lease_table(name)
         remaining_s = table.renew(
-            str(id(viewer)),
+            str(id(holder)),
             "region",
             version,
             anchor_s=process.node.quorum_acked_s(now_s),
@@ -286,15 +293,15 @@
         )
         applied = process.applied
 
-        def take():
-            viewer.version = max(viewer.version, applied)
+        def accept_lease():
+            holder.version = max(holder.version, applied)
             ends_s = sent_s + remaining_s
-            viewer.lease_ends_s = max(viewer.lease_ends_s, ends_s)
+            holder.lease_ends_s = max(holder.lease_ends_s, ends_s)
 
-        self.bag.append(take)
+        self.in_flight.append(accept_lease)
 
     def lease_table(self, name):
-        """Return the lease table of a leader's present leadership."""
+        """Return the lease table of a leader for its current term."""
         process = self.processes[name]
         elected_s = process.node.elected_s
         if process.leases is None or process.leases.elected_s != elected_s:
@@ -315,37 +322,37 @@
     def _restart(self):
         down = [name for name in self.names if name not in self.processes]
         if down:
-            self._boot(self.random.choice(down))
+            self._start_replica(self.random.choice(down))
 
     def _lose_disk(self):
-        self.repairing = {
-            name for name in self.repairing if not self._is_repaired(name)
+        self.recovering = {
+            name for name in self.recovering if not self._has_recovered(name)
         }
         down = [n for n in self.names[:-1] if n not in self.processes]
-        if down and len(self.repairing) < min(1, self.may_lose):
+        if down and len(self.recovering) < min(1, self.max_lost_disks):
             name = self.random.choice(down)
             self.disks[name] = Disk(Stored())
             self.lost_disks += 1
-            self.repairing.add(name)
+            self.recovering.add(name)
 
-    def _is_repaired(self, name):
+    def _has_recovered(self, name):
         configuration = self.invariants.committed_configuration
         blank = self.disks[name].stored.snapshot is None
         return not blank and name in configuration.voter_names
 
     def _isolate(self):
-        self.cut.add(self.random.choice(self.names))
+        self.isolated.add(self.random.choice(self.names))
 
     def _isolate_leader(self):
-        name = self._pick(leads=True)
+        name = self._pick_replica(leads=True)
         if name is not None:
-            self.cut.add(name)
+            self.isolated.add(name)
 
     def _heal(self):
-        self.cut.clear()
+        self.isolated.clear()
 
     def _compact(self):
-        name = self._pick()
+        name = self._pick_replica()
         process = self.processes.get(name)
         if process is None or process.node.blank:
             return
@@ -354,7 +361,7 @@
             return
         keep = self.random.choice((0, 2, 100))
         data = self.invariants.state_at(process.applied)
-        self._act(
+        self._run_on_node(
             name,
             lambda node, now: node.compact(
                 index=process.applied, data=data, keep=keep
@@ -362,7 +369,7 @@
         )
 
     def _join(self):
-        name = self._pick(leads=True)
+        name = self._pick_replica(leads=True)
         target = self.random.choice(self.names)
         process = self.processes.get(target)
         if name is None or process is None:
@@ -370,21 +377,21 @@
         replica = Replica(instance=target, address="")
         blank = process.node.blank
         self.counts["changes"] += 1
-        self._act(
+        self._run_on_node(
             name,
             lambda node, now: node.join(replica, blank=blank, now_s=now),
         )
 
     def _remove(self):
-        name = self._pick(leads=True)
+        name = self._pick_replica(leads=True)
         target = self.random.choice(self.names)
-        if name is not None and not self.repairing:
-            self._act(name, lambda node, now: node.remove(target, now))
+        if name is not None and not self.recovering:
+            self._run_on_node(name, lambda node, now: node.remove(target, now))
 
     def _transfer(self):
-        name = self._pick(leads=True)
+        name = self._pick_replica(leads=True)
         if name is not None:
-            self._act(name, lambda node, now: node.transfer(now))
+            self._run_on_node(name, lambda node, now: node.transfer(now))
 
 
 def is_command(entry):
--- a/currantdeal/consensus/tests/test_node.py
+++ b/currantdeal/consensus/tests/test_node.py
@@ -22,75 +22,79 @@
     VoteAnswer,
     VoteRequest,
 )
-from currantdeal.consensus.tests.builders import NAMES, Machines
+from currantdeal.consensus.tests.builders import NAMES, Cluster
 
 
-def test_replica_that_was_cut_off_does_not_depose_the_leader():
-    """A replica is cut off for many election timeouts and comes back.
+def test_partitioned_replica_does_not_depose_the_leader():
+    """Guards against an election whenever a network partition heals.
 
-    Without the pre-vote its term would have grown meanwhile, and every
-    return from a partition would stop all changes for an election.
+    A replica is isolated for many election timeouts.  Without pre-vote it
+    would increment its term meanwhile, depose the leader on its return and
+    block all changes until a new leader is elected.
     """
-    machines = Machines()
-    leader = machines.leader()
+    cluster = Cluster()
+    leader = cluster.leader()
     term = leader.term
-    away = next(n for n in NAMES if machines.nodes[n] is not leader)
-    machines.cut = {away}
-    machines.run(10.0)
-    machines.cut = set()
-    machines.run(3.0)
-    assert machines.leader() is leader
+    isolated = next(n for n in NAMES if cluster.nodes[n] is not leader)
+    cluster.isolated = {isolated}
+    cluster.run(10.0)
+    cluster.isolated = set()
+    cluster.run(3.0)
+    assert cluster.leader() is leader
     assert leader.term == term
 
 
 def test_isolated_leader_steps_down():
-    """The leader is cut off and hears from nobody.
+    """Guards against an isolated leader that still acts as leader.
 
-    If it stayed leader it would go on telling its instances that it is.
+    The leader receives no messages any more.  If it did not step down, it
+    would still report itself as leader to its instances.
     """
-    machines = Machines()
-    old = machines.leader()
-    machines.cut = {machines.name_of(old)}
-    machines.run(4.0)
+    cluster = Cluster()
+    old = cluster.leader()
+    cluster.isolated = {cluster.name_of(old)}
+    cluster.run(4.0)
     assert old.role is not RaftRole.LEADER
     with pytest.raises(NotLeaderError):
-        old.propose((b"x",), machines.now_s)
-    assert machines.leader() is not old
+        old.propose((b"x",), cluster.now_s)
+    assert cluster.leader() is not old
 
 
-def test_learner_counts_only_after_it_has_caught_up():
-    """A new replica joins while one of three is down.
+def test_learner_is_promoted_only_after_it_has_caught_up():
+    """Guards against a quorum that includes an empty disk.
 
-    Were it counted at once, a quorum could rest on an empty disk.
+    A new replica joins while one of three is down.  As a voter it would
+    count before it has received the log.
     """
-    machines = Machines(names=(*NAMES, "i4"))
-    leader = machines.leader()
-    leader.propose((b"x",) * 50, machines.now_s)
-    machines.run(0.5)
+    cluster = Cluster(names=(*NAMES, "i4"))
+    leader = cluster.leader()
+    leader.propose((b"x",) * 50, cluster.now_s)
+    cluster.run(0.5)
     leader.compact(index=leader.commit_index - 5, data=b"state", keep=0)
-    down = next(n for n in NAMES if machines.nodes[n] is not leader)
-    machines.cut = {down}
-    machines.run(4.0)
-    machines.cut = {down, "i4"}
+    down = next(n for n in NAMES if cluster.nodes[n] is not leader)
+    cluster.isolated = {down}
+    cluster.run(4.0)
+    cluster.isolated = {down, "i4"}
     joining = Replica(instance="i4", address="")
-    leader.join(joining, blank=True, now_s=machines.now_s)
-    machines.run(1.0)
+    leader.join(joining, blank=True, now_s=cluster.now_s)
+    cluster.run(1.0)
     assert leader.configuration.learner_names == ("i4",)
     assert leader.configuration.voter_names == NAMES
-    machines.cut = {down}
-    machines.run(2.0)
+    cluster.isolated = {down}
+    cluster.run(2.0)
     assert "i4" in leader.configuration.voter_names
     assert down not in leader.configuration.voter_names
-    assert "i4" in machines.installed
-    assert machines.nodes["i4"].last_index == leader.last_index
+    assert "i4" in cluster.installed
+    assert cluster.nodes["i4"].last_index == leader.last_index
 
 
-def test_replica_without_memory_grants_no_vote():
-    """A replica's disk was lost after it had voted, and it is asked again.
+def test_blank_replica_grants_no_vote():
+    """Guards against two leaders in one term.
 
-    Two votes in one term could make two leaders.
+    A replica that lost its disk after a vote could vote a second time in the
+    same term.
     """
-    node = Machines(names=(*NAMES, "i4")).nodes["i4"]
+    node = Cluster(names=(*NAMES, "i4")).nodes["i4"]
     for pre in (True, False):
         node.receive(
             VoteRequest(
@@ -108,27 +112,28 @@
 
 
 def test_only_one_change_of_the_replica_set_at_a_time():
-    """Two operators replace two replicas at once.
+    """Guards against two quorums without a common replica.
 
-    Two changes together could give two quorums without a common replica.
+    They can form if two operators replace two replicas at the same time.
     """
-    machines = Machines()
-    leader = machines.leader()
-    others = [n for n in NAMES if machines.nodes[n] is not leader]
-    leader.remove(others[0], machines.now_s)
+    cluster = Cluster()
+    leader = cluster.leader()
+    others = [n for n in NAMES if cluster.nodes[n] is not leader]
+    leader.remove(others[0], cluster.now_s)
     with pytest.raises(ChangePendingError):
-        leader.remove(others[1], machines.now_s)
-    machines.run(0.5)
+        leader.remove(others[1], cluster.now_s)
+    cluster.run(0.5)
     assert len(leader.configuration.voters) == 2
 
 
 def test_committed_entry_is_never_replaced():
-    """A message of a leader that cannot exist would replace what counts.
+    """Guards against the loss of a committed order.
 
-    The replica stops with a clear error instead of losing an order.
+    An append request of an invalid leader would replace a committed entry.
+    The replica must stop with a clear error instead.
     """
-    machines = Machines()
-    leader = machines.leader()
+    cluster = Cluster()
+    leader = cluster.leader()
     wrong = Entry(index=1, term=9, kind=EntryKind.NOTHING)
     message = AppendRequest(
         term=9,
@@ -141,26 +146,27 @@
         entries=(wrong,),
     )
     with pytest.raises(InvariantError):
-        leader.receive(message, machines.now_s)
+        leader.receive(message, cluster.now_s)
 
 
-def test_hand_over_goes_to_a_replica_that_has_everything():
-    machines = Machines()
-    leader = machines.leader()
-    entries = leader.propose((b"x",), machines.now_s)
-    leader.transfer(machines.now_s)
+def test_leadership_is_transferred_to_an_up_to_date_replica():
+    cluster = Cluster()
+    leader = cluster.leader()
+    entries = leader.propose((b"x",), cluster.now_s)
+    leader.transfer(cluster.now_s)
     with pytest.raises(NotLeaderError):
-        leader.propose((b"y",), machines.now_s)
-    machines.run(0.3)
-    assert machines.leader() is not leader
-    assert machines.leader().commit_index > entries[0].index
+        leader.propose((b"y",), cluster.now_s)
+    cluster.run(0.3)
+    assert cluster.leader() is not leader
+    assert cluster.leader().commit_index > entries[0].index
 
 
-def test_new_leader_waits_for_leases_it_has_not_heard_of():
-    """A leader dies after it granted a lease, and a new one is elected.
+def test_new_leader_waits_for_the_leases_of_earlier_leaders():
+    """Guards against a withdrawal that is reported in force too early.
 
-    Without the wait the new one would say that a withdrawal is in force
-    while an instance still sends work under its old lease.
+    A leader crashes after it granted a lease, and a new leader is elected
+    that has no record of the lease.  Without the wait an instance could
+    still send work under its old lease.
     """
     table = LeaseTable(lease_s=2.0, elected_s=100.0)
     assert not table.in_force(0, 101.9)
@@ -172,10 +178,11 @@
 
 
 def test_entry_of_an_earlier_term_is_not_committed_by_counting():
-    """A new leader finds that a majority holds an entry of an earlier term.
+    """Guards against the loss of an accepted order (Raft, figure 8).
 
-    Another replica may still win and replace it (Raft, figure 8), so an
-    order that counts as accepted here would be lost.
+    A new leader finds an entry of an earlier term on a majority.  Another
+    replica may still be elected and replace the entry, so it must not be
+    committed by counting replicas.
     """
     first = Configuration(
         voters=tuple(Replica(instance=n, address="") for n in NAMES)
@@ -220,11 +227,12 @@
     assert answer(2) == 2
 
 
-def test_snapshot_replaces_entries_that_contradict_it():
-    """A follower that kept entries of a lost leader gets a snapshot.
+def test_snapshot_replaces_conflicting_entries():
+    """Guards against uncommitted changes that come into force.
 
-    Keeping the entries after it would put changes into force that were
-    never accepted.
+    A follower has entries of a crashed leader and receives a snapshot that
+    conflicts with them.  It must drop the entries after the snapshot, too,
+    because they were never accepted.
     """
     first = Configuration(
         voters=tuple(Replica(instance=n, address="") for n in NAMES)
@@ -265,10 +273,11 @@
 
 
 def test_leader_is_not_ready_before_it_has_given_out_what_is_committed():
-    """Every replica restarts, and one leads before it has applied its log.
+    """Guards against leases on an empty view after a full restart.
 
-    If it granted a lease then, an instance would work by an empty view and
-    send work to upstreams that were withdrawn before the restart.
+    Every replica restarts, and one becomes leader before it has applied its
+    log.  If it granted a lease then, an instance would send work to upstreams
+    that were withdrawn before the restart.
     """
     alone = Configuration(voters=(Replica(instance="i1", address=""),))
     stored = Stored(
@@ -295,40 +304,45 @@
     assert node.is_ready
 
 
-def test_a_replica_set_that_starts_anew_elects_a_leader_soon():
-    """All processes are killed and start again.
+def test_first_leader_after_a_full_restart_is_elected_soon():
+    """Guards against a long outage after a restart of all processes.
 
-    There is no leader to wait for, and until one is elected callers are
-    refused everywhere.
+    No replica has a leader to wait for, and until one is elected all
+    instances refuse their callers.
     """
     settings = NodeSettings(election_s=0.8, first_election_s=0.1)
-    machines = Machines(settings=settings)
-    machines.run(0.5)
-    assert any(node.is_ready for node in machines.nodes.values())
+    cluster = Cluster(settings=settings)
+    cluster.run(0.5)
+    assert any(node.is_ready for node in cluster.nodes.values())
 
 
-def test_a_replica_that_restarts_does_not_depose_the_leader():
-    """One of three restarts and has not heard the leader yet."""
+def test_restarted_replica_does_not_depose_the_leader():
+    """Guards against an election when one of three replicas restarts.
+
+    Until the leader contacts it, it uses the short first election timeout.
+    """
     settings = NodeSettings(election_s=0.8, first_election_s=0.1)
-    machines = Machines(settings=settings)
-    leader = machines.leader()
+    cluster = Cluster(settings=settings)
+    leader = cluster.leader()
     term = leader.term
-    machines.run(3.0)
-    other = next(n for n in NAMES if machines.nodes[n] is not leader)
-    machines.restart(other)
-    machines.run(2.0)
-    assert machines.leader() is leader
+    cluster.run(3.0)
+    other = next(n for n in NAMES if cluster.nodes[n] is not leader)
+    cluster.restart(other)
+    cluster.run(2.0)
+    assert cluster.leader() is leader
     assert leader.term == term
 
 
-def test_a_new_leader_tells_what_is_committed_before_its_next_heartbeat():
-    """A leader is elected, and the entries that follow other replicas wait.
+def test_new_leader_sends_the_commit_index_before_its_next_heartbeat():
+    """Guards against refused callers after an election.
 
-    Told with the next heartbeat only, they refuse callers for that long.
+    Entries that follow other replicas refuse their callers until their
+    replica has received the commit index, which would take until the next
+    heartbeat.
     """
     settings = NodeSettings(heartbeat_s=60.0, first_election_s=0.1)
-    machines = Machines(settings=settings)
-    leader = machines.leader()
-    commits = {node.commit_index for node in machines.nodes.values()}
+    cluster = Cluster(settings=settings)
+    leader = cluster.leader()
+    commits = {node.commit_index for node in cluster.nodes.values()}
     assert commits == {leader.commit_index}
     assert leader.commit_index >= 1
--- a/currantdeal/consensus/tests/test_replica_set.py
+++ b/currantdeal/consensus/tests/test_replica_set.py
@@ -6,103 +6,100 @@
     may_give_way,
     next_change,
 )
-from currantdeal.consensus.tests.builders import NAMES, Machines
+from currantdeal.consensus.tests.builders import NAMES, Cluster
 
 SUCCESSOR = Replica(instance="i4", address="")
 
 
-def _with_spare():
-    return Machines(names=(*NAMES, SUCCESSOR.instance))
+def _cluster_with_spare():
+    return Cluster(names=(*NAMES, SUCCESSOR.instance))
 
 
-def _follower(machines):
-    leader = machines.leader()
-    return next(n for n in NAMES if machines.nodes[n] is not leader)
+def _follower(cluster):
+    leader = cluster.leader()
+    return next(n for n in NAMES if cluster.nodes[n] is not leader)
 
 
-def _lose_power(machines, *, without_disk, gone):
-    for name in set(machines.nodes) - {gone}:
+def _restart_all(cluster, *, without_disk, except_for):
+    for name in set(cluster.nodes) - {except_for}:
         if name == without_disk:
-            machines.lose_disk(name)
+            cluster.lose_disk(name)
         else:
-            machines.restart(name)
+            cluster.restart(name)
 
 
-def test_a_replica_that_was_replaced_does_not_count_for_good():
-    """A control instance is added, and an older one is taken away later.
+def test_replaced_voter_is_removed_from_the_replica_set():
+    """Guards against a removed instance that still counts as a voter.
 
-    Fifteen seconds after that all machines lose power, and one of the three
-    that are left comes back with an empty disk.  Nobody is elected any more,
-    and callers are refused until operators step in.
-
-    The one that was taken away was still a voter: of four, three had to
-    agree, and two could.  Their own lines said so: a quorum of three, two
-    votes, and no call to join taken for want of a leader.
+    A control instance is added and an older one is shut down.  15 seconds
+    later all machines lose power, and one of the remaining three returns with
+    an empty disk.  If the old instance is still a voter, the quorum is three
+    of four but only two can vote.  No leader is elected, join requests fail
+    without one, and callers are refused until an operator intervenes.
     """
-    machines = _with_spare()
-    machines.leader().join(SUCCESSOR, blank=True, now_s=machines.now_s)
-    machines.run(4.0)
-    gone = _follower(machines)
-    machines.cut = {gone}
-    machines.run(15.0)
-    _lose_power(machines, without_disk=SUCCESSOR.instance, gone=gone)
-    assert machines.leader()
-
-
-def test_the_successor_of_a_lost_leader_may_be_lost_too():
-    """The control instance that leads is gone for good; another is started.
-
-    Some time later that one loses its disk.  The two others hear each other
-    all the while, but no change is acknowledged or reaches entries any more.
-
-    The successor came to count at once, beside the voter that it replaced;
-    nobody asked to join after it, and so that one was never removed.
+    cluster = _cluster_with_spare()
+    cluster.leader().join(SUCCESSOR, blank=True, now_s=cluster.now_s)
+    cluster.run(4.0)
+    lost = _follower(cluster)
+    cluster.isolated = {lost}
+    cluster.run(15.0)
+    _restart_all(cluster, without_disk=SUCCESSOR.instance, except_for=lost)
+    assert cluster.leader()
+
+
+def test_changes_commit_after_the_successor_of_a_leader_loses_its_disk():
+    """Guards against a lost quorum although two of three replicas are healthy.
+
+    The leader is permanently lost and a successor joins, which later loses
+    its disk.  If the successor became a voter in addition to the lost leader,
+    which was removed only on a later join request, the two healthy replicas
+    would be no quorum of four and could not commit any change.
     """
-    machines = _with_spare()
-    gone = machines.name_of(machines.leader())
-    machines.cut = {gone}
-    machines.leader().join(SUCCESSOR, blank=True, now_s=machines.now_s)
-    machines.run(15.0)
-    machines.lose_disk(SUCCESSOR.instance)
-    machines.run(5.0)
-    leader = machines.leader()
-    (entry,) = leader.propose((b"change",), machines.now_s)
-    machines.run(1.0)
+    cluster = _cluster_with_spare()
+    lost = cluster.name_of(cluster.leader())
+    cluster.isolated = {lost}
+    cluster.leader().join(SUCCESSOR, blank=True, now_s=cluster.now_s)
+    cluster.run(15.0)
+    cluster.lose_disk(SUCCESSOR.instance)
+    cluster.run(5.0)
+    leader = cluster.leader()
+    (entry,) = leader.propose((b"change",), cluster.now_s)
+    cluster.run(1.0)
     assert leader.commit_index >= entry.index
 
 
 def test_learner_that_lost_its_disk_catches_up_again():
-    """Guards against a leader that resends to a learner without end."""
-    machines = _with_spare()
-    machines.leader().join(SUCCESSOR, blank=True, now_s=machines.now_s)
-    machines.run(4.0)
-    leader = machines.leader()
-    leader.propose((b"change",), machines.now_s)
-    machines.run(1.0)
-    machines.lose_disk(SUCCESSOR.instance)
-    machines.run(1.0)
-    learner = machines.nodes[SUCCESSOR.instance]
+    """Guards against a leader that resends entries in an endless loop."""
+    cluster = _cluster_with_spare()
+    cluster.leader().join(SUCCESSOR, blank=True, now_s=cluster.now_s)
+    cluster.run(4.0)
+    leader = cluster.leader()
+    leader.propose((b"change",), cluster.now_s)
+    cluster.run(1.0)
+    cluster.lose_disk(SUCCESSOR.instance)
+    cluster.run(1.0)
+    learner = cluster.nodes[SUCCESSOR.instance]
     assert learner.commit_index == leader.commit_index
 
 
 def test_quorum_leaves_out_what_a_lost_disk_held():
-    """Guards against entries that count as held by a disk that is empty."""
-    machines = _with_spare()
-    leader = machines.leader()
-    leader.join(SUCCESSOR, blank=True, now_s=machines.now_s)
-    machines.run(4.0)
-    machines.lose_disk(SUCCESSOR.instance)
-    machines.cut = {*NAMES, SUCCESSOR.instance} - {
-        machines.name_of(leader),
+    """Guards against counting entries as replicated to an empty disk."""
+    cluster = _cluster_with_spare()
+    leader = cluster.leader()
+    leader.join(SUCCESSOR, blank=True, now_s=cluster.now_s)
+    cluster.run(4.0)
+    cluster.lose_disk(SUCCESSOR.instance)
+    cluster.isolated = {*NAMES, SUCCESSOR.instance} - {
+        cluster.name_of(leader),
         SUCCESSOR.instance,
     }
-    machines.run(0.6)
+    cluster.run(0.6)
     peer = leader._raft.progress[SUCCESSOR.instance]
-    held = machines.nodes[SUCCESSOR.instance]._raft.log.last_index
-    assert peer.match_index <= held
+    last_index = cluster.nodes[SUCCESSOR.instance]._raft.log.last_index
+    assert peer.match_index <= last_index
 
 
-def _set(voters, learners=""):
+def _replica_set(voters, learners=""):
     return Configuration(
         voters=tuple(Replica(instance=n, address="") for n in voters),
         learners=tuple(Replica(instance=n, address="") for n in learners),
@@ -118,145 +115,166 @@
     )
 
 
-def _adapted(configuration, health, *, steps=6):
-    """Return the set that the leader arrives at, and by which steps."""
-    told = []
+def _apply_changes(configuration, health, *, steps=6):
+    """Return the final replica set and the changes that lead to it."""
+    changes = []
     for _ in range(steps):
         change = next_change(configuration, health)
         if change is None:
             break
-        told.append((change.replica, change.reason))
+        changes.append((change.replica, change.reason))
         configuration = change.configuration
-    return configuration, told
+    return configuration, changes
 
 
-def test_an_extra_replica_stands_by():
-    """Four replicas run, as many as bear the loss of one as three do.
+def test_surplus_replica_stays_a_learner():
+    """Guards against an even number of voters.
 
-    If all four counted, no two of them could be lost; of three and one that
-    stands by, the latter and any other can.
+    Four voters tolerate the loss of one, as three do, but not of any two.
+    Three voters and a learner also tolerate the loss of the learner together
+    with any one voter.
     """
     health = _health("abcd", caught_up="d")
-    assert _adapted(_set("abc", "d"), health) == (_set("abc", "d"), [])
+    assert _apply_changes(_replica_set("abc", "d"), health) == (
+        _replica_set("abc", "d"),
+        [],
+    )
 
 
-def test_two_extra_replicas_count_together():
-    after, told = _adapted(_set("abc", "de"), _health("abcde", caught_up="de"))
-    assert after == _set("abcde")
-    assert told == [("d", ChangeReason.CAUGHT_UP)] + [
+def test_two_surplus_replicas_are_promoted_together():
+    after, changes = _apply_changes(
+        _replica_set("abc", "de"), _health("abcde", caught_up="de")
+    )
+    assert after == _replica_set("abcde")
+    assert changes == [("d", ChangeReason.CAUGHT_UP)] + [
         ("e", ChangeReason.CAUGHT_UP)
     ]
 
 
-def test_a_pause_of_one_of_three_changes_nothing():
-    """A replica restarts, or its machine stands still, and none stands by.
+def test_pause_of_one_of_three_voters_changes_nothing():
+    """Guards against removing a paused voter that has no successor.
 
-    Without it both others would be needed for each change, and it would have
-    to join anew.
+    A replica restarts or its machine is suspended, and there is no learner.
+    Without it, each change would need both other voters, and the replica
+    would have to join again.
     """
     health = _health("ab", silent="c")
-    assert next_change(_set("abc"), health) is None
+    assert next_change(_replica_set("abc"), health) is None
 
 
-def test_nobody_comes_to_count_beside_a_voter_that_is_missing():
-    """A voter does not answer; nobody knows yet whether it comes back.
+def test_no_learner_is_promoted_while_a_voter_does_not_answer():
+    """Guards against a larger quorum while a voter may be lost.
 
-    If its successor counted already, three of four would have to agree, and
-    the loss of the successor would stop all changes.
+    If the successor of a voter that does not answer were promoted already,
+    the quorum would be three of four, and the loss of the successor would
+    block all changes.
     """
     health = _health("abd", caught_up="d")
-    assert next_change(_set("abc", "d"), health) is None
+    assert next_change(_replica_set("abc", "d"), health) is None
 
 
-def test_a_missing_voter_gives_way_before_its_successor_counts():
-    after, told = _adapted(
-        _set("abc", "d"), _health("abd", silent="c", caught_up="d")
+def test_silent_voter_is_removed_before_its_successor_is_promoted():
+    after, changes = _apply_changes(
+        _replica_set("abc", "d"), _health("abd", silent="c", caught_up="d")
     )
-    assert after == _set("abd")
-    assert [name for name, _ in told] == ["c", "d"]
+    assert after == _replica_set("abd")
+    assert [name for name, _ in changes] == ["c", "d"]
 
 
-def test_a_successor_counts_before_a_voter_that_leaves_gives_way():
-    after, told = _adapted(
-        _set("abc", "d"), _health("abcd", leaving="c", caught_up="d")
+def test_successor_is_promoted_before_a_leaving_voter_is_removed():
+    after, changes = _apply_changes(
+        _replica_set("abc", "d"), _health("abcd", leaving="c", caught_up="d")
     )
-    assert after == _set("abd")
-    assert [name for name, _ in told] == ["d", "c"]
+    assert after == _replica_set("abd")
+    assert [name for name, _ in changes] == ["d", "c"]
 
 
-def test_two_missing_voters_of_five_give_way():
-    """A data centre with two of five control instances is lost.
+def test_two_silent_voters_of_five_are_removed():
+    """Guards against an outage after the loss of a data centre.
 
-    While both count, the three others must all answer; a restart of one of
-    them would refuse changes everywhere.
+    A data centre with two of five control instances is lost.  While both are
+    voters, the other three must all answer, and a restart of one of them
+    would block all changes.
     """
-    after, _ = _adapted(_set("abcde"), _health("abc", silent="de"))
-    assert after == _set("abc")
+    after, _ = _apply_changes(
+        _replica_set("abcde"), _health("abc", silent="de")
+    )
+    assert after == _replica_set("abc")
 
 
-def test_a_voter_that_leaves_an_odd_set_stays_a_voter():
-    """One of three is restarted by its operators; nobody stands by."""
+def test_leaving_voter_of_an_odd_set_stays_without_a_successor():
+    """Guards against removing one of three voters during its restart.
+
+    Its operators restart it, and there is no learner to replace it.
+    """
     health = _health("abc", leaving="c")
-    assert next_change(_set("abc"), health) is None
-    assert not may_give_way(_set("abc"), "c")
-    assert may_give_way(_set("abc", "d"), "c")
-    assert may_give_way(_set("abcd"), "c")
+    assert next_change(_replica_set("abc"), health) is None
+    assert not may_give_way(_replica_set("abc"), "c")
+    assert may_give_way(_replica_set("abc", "d"), "c")
+    assert may_give_way(_replica_set("abcd"), "c")
 
 
-def test_a_learner_that_is_gone_is_forgotten():
-    after, told = _adapted(_set("abc", "d"), _health("abc", silent="d"))
-    assert after == _set("abc")
-    assert told == [("d", ChangeReason.SILENT)]
+def test_silent_learner_is_removed():
+    after, changes = _apply_changes(
+        _replica_set("abc", "d"), _health("abc", silent="d")
+    )
+    assert after == _replica_set("abc")
+    assert changes == [("d", ChangeReason.SILENT)]
 
 
-def test_who_was_away_for_long_learns_again_and_stands_by():
-    """A machine stands still for ten seconds and was replaced meanwhile.
+def test_replaced_voter_returns_as_a_learner():
+    """Guards against a replaced replica that still acts as a voter.
 
-    It comes back with its disk and takes itself for a voter still.
+    Its machine is suspended for ten seconds and replaced meanwhile.  It
+    returns with its disk, where it is still a voter.
     """
-    machines = _with_spare()
-    leader = machines.leader()
-    leader.join(SUCCESSOR, blank=True, now_s=machines.now_s)
-    away = _follower(machines)
-    machines.cut = {away}
-    machines.run(10.0)
-    assert away not in leader.configuration.voter_names
-    machines.cut = set()
-    machines.run(3.0)
-    back = Replica(instance=away, address="")
-    leader.join(back, blank=False, now_s=machines.now_s)
-    machines.run(3.0)
-    assert machines.leader() is leader
-    assert leader.configuration.learner_names == (away,)
-    assert machines.nodes[away].configuration == leader.configuration
-
-
-def test_one_that_stands_by_notices_that_it_hears_no_leader():
-    """A control instance that stands by is cut off, and forgotten meanwhile.
-
-    When the path is whole again it must ask to join.  If it took the last
-    leader that it heard for the present one, entries that follow it would
-    stay on old routes for good, and never look for another.
+    cluster = _cluster_with_spare()
+    leader = cluster.leader()
+    leader.join(SUCCESSOR, blank=True, now_s=cluster.now_s)
+    isolated = _follower(cluster)
+    cluster.isolated = {isolated}
+    cluster.run(10.0)
+    assert isolated not in leader.configuration.voter_names
+    cluster.isolated = set()
+    cluster.run(3.0)
+    back = Replica(instance=isolated, address="")
+    leader.join(back, blank=False, now_s=cluster.now_s)
+    cluster.run(3.0)
+    assert cluster.leader() is leader
+    assert leader.configuration.learner_names == (isolated,)
+    assert cluster.nodes[isolated].configuration == leader.configuration
+
+
+def test_isolated_learner_clears_its_leader():
+    """Guards against a learner that never rejoins after a partition.
+
+    A learner is isolated and removed from the replica set meanwhile.  When
+    the network path works again it must ask to join.  If it kept its last
+    leader, entries that follow it would stay on old routes permanently and
+    never switch to another control instance.
     """
-    machines = _with_spare()
-    leader = machines.leader()
-    leader.join(SUCCESSOR, blank=True, now_s=machines.now_s)
-    machines.run(2.0)
-    stands_by = machines.nodes[SUCCESSOR.instance]
-    assert stands_by.leader == machines.name_of(leader)
-    machines.cut = {SUCCESSOR.instance}
-    machines.run(5.0)
+    cluster = _cluster_with_spare()
+    leader = cluster.leader()
+    leader.join(SUCCESSOR, blank=True, now_s=cluster.now_s)
+    cluster.run(2.0)
+    learner = cluster.nodes[SUCCESSOR.instance]
+    assert learner.leader == cluster.name_of(leader)
+    cluster.isolated = {SUCCESSOR.instance}
+    cluster.run(5.0)
     assert leader.configuration.learner_names == ()
-    assert stands_by.leader is None
-
-
-def test_a_word_that_a_replica_stops_is_forgotten():
-    """A replica says that it stops and is started again at once."""
-    machines = _with_spare()
-    leader = machines.leader()
-    other = _follower(machines)
-    assert not leader.leave(other, machines.now_s)
-    machines.run(2.0)
-    leader.join(SUCCESSOR, blank=True, now_s=machines.now_s)
-    machines.run(3.0)
+    assert learner.leader is None
+
+
+def test_leave_request_expires():
+    """Guards against removing a replica that was restarted at once.
+
+    It announced that it stops, and it has started again since then.
+    """
+    cluster = _cluster_with_spare()
+    leader = cluster.leader()
+    other = _follower(cluster)
+    assert not leader.leave(other, cluster.now_s)
+    cluster.run(2.0)
+    leader.join(SUCCESSOR, blank=True, now_s=cluster.now_s)
+    cluster.run(3.0)
     assert leader.configuration.voter_names == NAMES
