--- a/currantdeal/testing/__init__.py
+++ b/currantdeal/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins and a fault-injecting proxy for tests and benchmarks."""
+"""Provide stand-ins and a fault-injecting proxy for tests and benchmarks."""
--- a/currantdeal/testing/crashing_fleet.py
+++ b/currantdeal/testing/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Upstreams that crash, announced to real control processes."""
+"""Run crashing upstreams and announce them to real control processes."""
 
 import asyncio
 import json
@@ -6,42 +6,43 @@
 from currantdeal.testing.crashing_upstream import CrashingUpstream
 from currantdeal.testing.platform_upstream import heartbeat
 
-BEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 
 
 class CrashingFleet:
-    """Upstreams of the services of ``entry_world.config_body``.
+    """Upstreams for the services that ``entry_world.config_body`` configures.
 
     Parameters
     ----------
     cluster : currantdeal.testing.node_processes.NodeCluster
-        Its control processes get the heartbeats.
+        Cluster whose control processes receive the heartbeats.
     services, engines : int
-        Plain upstreams and decode engines; two engines prefill.
+        Number of plain upstreams and of decode engines. There are always two
+        prefill engines.
     options : dict
-        Of each ``CrashingUpstream``.
+        Keyword arguments for each ``CrashingUpstream``.
     """
 
     def __init__(self, *, cluster, services=6, engines=4, **options):
-        """Start nothing before ``start``."""
+        """Create the upstreams; they do not listen before ``start``."""
         self._cluster = cluster
-        self._places = {}
+        self._upstreams = {}
         for number in range(services):
-            self._places[f"s{number}"] = ("shop", {})
+            self._upstreams[f"s{number}"] = ("shop", {})
         for number in range(engines):
-            self._places[f"d{number}"] = ("model", _stage("decode"))
+            self._upstreams[f"d{number}"] = ("model", _stage("decode"))
         for number in range(2):
-            self._places[f"p{number}"] = ("model", _stage("prefill"))
+            self._upstreams[f"p{number}"] = ("model", _stage("prefill"))
         self.standins = {
             name: CrashingUpstream(upstream=name, **options)
-            for name in self._places
+            for name in self._upstreams
         }
         self._sequence = 0
         self._tasks = []
 
     @property
     def crashes(self):
-        """Time, id and body of each crash so far, in order of time."""
+        """Time, request id and body of each crash so far, by time."""
         return sorted(
             crash
             for standin in self.standins.values()
@@ -49,34 +50,36 @@
         )
 
     async def start(self):
-        """Listen, and send heartbeats from now on."""
+        """Start to listen and to send heartbeats."""
         for name, standin in self.standins.items():
             await standin.start()
-            self._tasks.append(asyncio.ensure_future(self._beat(name)))
+            self._tasks.append(
+                asyncio.ensure_future(self._send_heartbeats(name))
+            )
 
     def stop(self):
-        """Send no more heartbeats."""
+        """Stop sending heartbeats."""
         for task in self._tasks:
             task.cancel()
 
-    async def _beat(self, name):
+    async def _send_heartbeats(self, name):
         standin = self.standins[name]
         while True:
             if standin.is_up:
-                await asyncio.to_thread(self._announce, standin)
-            await asyncio.sleep(BEAT_S)
+                await asyncio.to_thread(self._send_heartbeat, standin)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    def _announce(self, standin):
-        service, more = self._places[standin.upstream]
+    def _send_heartbeat(self, standin):
+        service, more = self._upstreams[standin.upstream]
         self._sequence += 1
-        beat = heartbeat(
+        message = heartbeat(
             standin.address,
             service,
             sequence=self._sequence,
             born=standin.incarnation,
             **more,
         )
-        body = json.dumps(beat).encode()
+        body = json.dumps(message).encode()
         for process in self._cluster.control:
             path = f"/v1/instances/{standin.upstream}"
             url = self._cluster.control_url(process, path)
--- a/currantdeal/testing/crashing_upstream.py
+++ b/currantdeal/testing/crashing_upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in for an upstream whose process ends under some requests."""
+"""Provide a stand-in upstream that crashes on certain requests."""
 
 import asyncio
 
@@ -9,36 +9,37 @@
 )
 
 CRASH_AFTER_S = 0.02
-"""Time from the beginning of a run to the crash."""
+"""Time from the start of execution to the crash, in seconds."""
 
 
 class CrashingUpstream(StandInUpstream):
-    """An upstream that ends when it runs certain requests, and comes back.
+    """An upstream that crashes when it executes certain requests.
 
-    Its connections are reset and its port refuses new ones until it is back as
-    another incarnation.  What else it runs takes some time, so that a crash
-    meets other runs.
+    A crash resets its connections, and its port refuses new ones until it
+    restarts as a new incarnation. Other requests take some time to execute, so
+    that a crash also interrupts concurrent requests.
 
     Parameters
     ----------
     upstream : str
-        Its name.
+        Name of the upstream.
     crashes_under : callable
-        Tells whether a ``SeenRequest`` ends the process.
+        Returns whether a ``ReceivedRequest`` crashes the process.
     down_s : float
-        Time until it listens again.
+        Time from a crash until it listens again, in seconds.
     work_s : float
-        Time that a run takes; a stream spreads its events over it.
+        Execution time of a request in seconds; a stream spreads its events
+        over it.
     on_back : callable
-        Called with this stand-in when it listens again.
+        Called with this stand-in after it listens again.
     crashes_in_prefill : bool
-        Whether the call that prefills a prompt crashes, too.
+        Whether the prefill call of such a request crashes as well.
 
     Attributes
     ----------
     sent, crashes : list of tuple
-        Loop time, id and body of each request that crashes it as it came, and
-        of each that did crash it.
+        Event loop time, id and body of each such request when it arrived, and
+        of each that caused a crash.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         on_back=lambda standin: None,
         crashes_in_prefill=False,
     ):
-        """Listen nowhere before ``start``."""
+        """Create a stand-in that does not listen before ``start``."""
         super().__init__(upstream=upstream)
         self.crashes = []
         self.sent = []
@@ -64,24 +65,26 @@
         self._tasks = set()
 
     async def answer(self, request, writer):
-        """Answer after some time, or crash."""
+        """Send the response after the execution time, or crash."""
         if request.target.startswith("/v1/"):
             await super().answer(request, writer)
             return
-        streams = request.is_generation and not request.is_prefill
-        dies = self._crashes_under(request)
-        if dies:
+        is_stream = request.is_generation and not request.is_prefill
+        crashes_now = self._crashes_under(request)
+        if crashes_now:
             self.sent.append((_now_s(), request.request_id, request.body))
-        if request.is_prefill and not (dies and self._crashes_in_prefill):
+        if request.is_prefill and not (
+            crashes_now and self._crashes_in_prefill
+        ):
             await super().answer(request, writer)
             return
-        if streams:
+        if is_stream:
             self.begin_stream(request, writer)
             await writer.drain()
-        if dies:
+        if crashes_now:
             await asyncio.sleep(CRASH_AFTER_S)
             self._crash(request)
-        elif streams:
+        elif is_stream:
             await self._stream(request, writer)
         else:
             await asyncio.sleep(self._work_s)
@@ -111,11 +114,11 @@
         self.stop()
         for writer in tuple(self._writers):
             writer.transport.abort()
-        task = asyncio.ensure_future(self._come_back())
+        task = asyncio.ensure_future(self._restart())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _come_back(self):
+    async def _restart(self):
         await asyncio.sleep(self._down_s)
         host, _, port = self.address.rpartition(":")
         await self.start(host, int(port))
--- a/currantdeal/testing/engine.py
+++ b/currantdeal/testing/engine.py
@@ -1,4 +1,7 @@
-"""Stand-in model engine as a process.
+"""Run a stand-in model engine as a process.
+
+The process serves the engine's HTTP interface and announces itself to the
+instances that its options name.
 
 Run ``python -m currantdeal.testing.engine --help`` for its options.
 """
@@ -15,13 +18,14 @@
 from currantdeal.testing.engine_model import EngineModel
 from currantdeal.testing.http_server import StandInServer
 from currantdeal.testing.standin import (
+    common_options,
     new_incarnation,
-    place_options,
+    pop_common_options,
     run_until_signal,
-    split_place,
 )
 
-# Smaller than the model's own figures, as these bytes are really sent.
+# Smaller than the defaults of EngineModel, because the stand-in sends these
+# bytes over a real connection.
 _MODEL = EngineModel(
     pieces_total=256,
     kv_bytes_per_token=2_048,
@@ -31,20 +35,20 @@
 _ROLES = [role.value for role in Role]
 
 
-def describe_engine(core, place, address, incarnation):
-    """Return the engine's announcement as it stands now."""
+def describe_engine(core, common, address, incarnation):
+    """Return the engine's announcement with its current roles and models."""
     profile = core.profile
     model = profile.model
     return Upstream(
         upstream_id=profile.upstream_id,
         incarnation=incarnation,
-        address=place.advertise or address,
+        address=common.advertise or address,
         kind=UpstreamKind.ENGINE,
         roles=core.roles,
         targets=core.models,
-        region=place.region,
-        data_center=place.data_center,
-        labels=parse_labels(place.labels),
+        region=common.region,
+        data_center=common.data_center,
+        labels=parse_labels(common.labels),
         pieces_total=model.pieces_total,
         tokens_per_piece=model.tokens_per_piece,
         link_bytes_per_s=model.link_bytes_per_s,
@@ -54,13 +58,13 @@
 
 
 def parse_labels(texts):
-    """Return labels from ``NAME=VALUE`` texts."""
+    """Parse labels from ``NAME=VALUE`` strings."""
     parts = (text.partition("=") for text in texts)
     return tuple(Label(name=name, value=value) for name, _, value in parts)
 
 
 def model_options(command):
-    """Add one option for each field of the engine's model."""
+    """Add a command line option for each field of ``EngineModel``."""
     for item in reversed(fields(EngineModel)):
         flag = "--" + item.name.replace("_", "-")
         default = getattr(_MODEL, item.name)
@@ -68,14 +72,14 @@
     return command
 
 
-def split_model(options):
-    """Take an ``EngineModel`` out of click's options."""
+def pop_model_options(options):
+    """Remove the model's fields from click's options and return the model."""
     names = [item.name for item in fields(EngineModel)]
     return EngineModel(**{name: options.pop(name) for name in names})
 
 
 @click.command()
-@place_options
+@common_options
 @model_options
 @click.option("--id", "upstream_id", required=True)
 @click.option("--role", "roles", multiple=True, type=click.Choice(_ROLES))
@@ -87,35 +91,35 @@
     "--checks-fencing/--ignores-fencing", default=_DEFAULTS.checks_fencing
 )
 def main(roles, **options):
-    """Run a stand-in model engine until it is told to stop."""
-    place = split_place(options)
-    model = split_model(options)
+    """Run a stand-in model engine until SIGTERM or SIGINT."""
+    common = pop_common_options(options)
+    model = pop_model_options(options)
     core = EngineCore(
         profile=EngineProfile(model=model, **options),
         roles=tuple(Role(role) for role in roles)
         or (Role.PREFILL, Role.DECODE),
     )
     server = StandInServer(
-        address=place.address,
+        address=common.address,
         handler=EngineHandler,
         app=EngineApp(core=core),
     )
     core.start()
-    run_until_signal(server, _announcer(core, place, server.bound_address))
+    run_until_signal(server, _announcer(core, common, server.bound_address))
 
 
-def _announcer(core, place, address):
+def _announcer(core, common, address):
     incarnation = new_incarnation()
     return Announcer(
-        instances=place.instances,
-        key=place.key,
-        upstream=lambda: describe_engine(core, place, address, incarnation),
+        instances=common.instances,
+        key=common.key,
+        upstream=lambda: describe_engine(core, common, address, incarnation),
         load=lambda: core.load_report(incarnation),
-        silent=lambda: _is_silent(core.switch.faults),
+        paused=lambda: _is_paused(core.fault_injector.faults),
     )
 
 
-def _is_silent(faults):
+def _is_paused(faults):
     return faults.lie_silent or faults.stop_renewing
 
 
--- a/currantdeal/testing/engine_decode.py
+++ b/currantdeal/testing/engine_decode.py
@@ -1,7 +1,7 @@
-"""Decode half of the stand-in engine: one batch, stepped continuously.
+"""Simulate decoding: one continuous batch, stepped token by token.
 
-Output stays until its request is cancelled, so that a stream can be resumed
-at any offset, also after the output is complete.
+Output is kept until its request is cancelled, so that a stream can be resumed
+at any offset, even after the output is complete.
 """
 
 import threading
@@ -17,84 +17,84 @@
     output_token,
 )
 
-WAIT_S = 0.5
+CHUNK_WAIT_S = 0.5
 
 
-class Running:
+class RunningRequest:
     """A request that holds memory, and its output so far.
 
-    Its prompt is known once its KV cache has arrived, its length once the
-    decode has been asked for.
+    ``prompt`` is None until the KV cache has arrived, ``length`` is None until
+    the decode is requested.
     """
 
     def __init__(self, *, request):
-        """Keep the import; the KV cache comes later."""
+        """Keep the import request; its KV cache is not fetched yet."""
         self._request = request
-        self._since_s = time.monotonic()
+        self._reserved_at_s = time.monotonic()
         self.prompt = None
         self.prompt_tokens = 0
         self.seed = 0
         self.length = None
-        self.given = []
+        self.generated = []
 
-    def fill(self, prompt):
-        """Take in the prompt whose KV cache has arrived."""
+    def set_prompt(self, prompt):
+        """Set the prompt after its KV cache has arrived."""
         self.prompt_tokens = count_tokens(prompt)
         self.seed = output_seed(prompt)
         self.prompt = prompt
 
     @property
     def request_id(self):
-        """Name of the request."""
+        """Id of the request."""
         return self._request.request_id
 
     @property
     def fence(self):
-        """Fencing number that came with the import."""
+        """Fencing number of the import request."""
         return self._request.fence
 
     @property
     def age_s(self):
-        """Seconds since the import."""
-        return time.monotonic() - self._since_s
+        """Seconds since the import was requested."""
+        return time.monotonic() - self._reserved_at_s
 
     @property
     def finished(self):
-        """True when the whole output is there."""
-        return self.length is not None and len(self.given) >= self.length
+        """True when the whole output is generated."""
+        return self.length is not None and len(self.generated) >= self.length
 
     @property
     def active(self):
-        """True while tokens are to be generated."""
-        return self.length is not None and len(self.given) < self.length
+        """True while the request generates tokens."""
+        return self.length is not None and len(self.generated) < self.length
 
-    def has(self, offset):
-        """Return whether the chunk at an offset can be given."""
-        return offset < len(self.given) or self.finished
+    def has_chunk(self, offset):
+        """Return whether ``chunk`` can return the chunk at an offset."""
+        return offset < len(self.generated) or self.finished
 
     def chunk(self, offset):
-        """Return the chunk at an offset that ``has`` confirmed."""
-        if offset < len(self.given):
-            return OutputChunk(offset=offset, text=self.given[offset])
-        whole = self.length >= natural_length(self.prompt)
+        """Return the chunk at an offset; ``has_chunk`` must be true for it."""
+        if offset < len(self.generated):
+            return OutputChunk(offset=offset, text=self.generated[offset])
+        natural_end = self.length >= natural_length(self.prompt)
         return OutputChunk(
-            offset=len(self.given),
-            finish_reason="stop" if whole else "length",
+            offset=len(self.generated),
+            finish_reason="stop" if natural_end else "length",
         )
 
 
 class DecodeBatch:
     """Generates output for all running requests, one token a step.
 
-    Parameters are those of ``PrefillPool``, but for the prefix cache.
+    Its parameters are those of ``PrefillPool`` without the prefix cache.
     """
 
-    def __init__(self, *, profile, memory, journal, switch):
+    def __init__(self, *, profile, memory, journal, fault_injector):
         """Start with an empty batch."""
         self._model = profile.model
         self._memory = memory
         self._journal = journal
-        self._switch = switch
+        self._fault_injector = fault_injector
         self._changed = threading.Condition()
         self._requests = {}
 
@@ -105,38 +105,40 @@
 
     @property
     def step_s(self):
-        """Time of one step with the present batch, in seconds."""
-        plain_s = self._model.step_s(batch=self.running)
-        return plain_s * self._switch.faults.slow_factor
+        """Duration of a step with the current batch, in seconds."""
+        unscaled_s = self._model.step_s(batch=self.running)
+        return unscaled_s * self._fault_injector.faults.slow_factor
 
     def reserve(self, request):
-        """Take the pieces for a KV cache that is about to be fetched."""
+        """Reserve the pieces for a KV cache that is about to be fetched."""
         with self._changed:
             if request.request_id in self._requests:
-                raise RefusedError(400, "bad-request", "imported before")
-            self._memory.take(request.request_id, request.pieces)
-            running = Running(request=request)
+                raise RefusedError(
+                    400, "bad-request", "request is already imported"
+                )
+            self._memory.allocate(request.request_id, request.pieces)
+            running = RunningRequest(request=request)
             self._requests[request.request_id] = running
-        self._switch.maybe_die(Stage.IMPORT)
+        self._fault_injector.crash_if_set(Stage.IMPORT)
         return running
 
-    def abort(self, running):
-        """Free the pieces of an import that failed."""
+    def abort_import(self, running):
+        """Release the pieces of a failed import."""
         with self._changed:
-            if self._known(running):
+            if self._is_current(running):
                 del self._requests[running.request_id]
                 self._memory.release(running.request_id)
 
-    def admit(self, running, prompt):
-        """Make a request whose KV cache has arrived ready for decode."""
+    def finish_import(self, running, prompt):
+        """Mark a request as ready to decode once its KV cache has arrived."""
         with self._changed:
-            if not self._known(running):
+            if not self._is_current(running):
                 raise RefusedError(404, "unknown-request", "cancelled")
-            running.fill(prompt)
-        self._note(EventKind.IMPORT, running, running.prompt_tokens)
+            running.set_prompt(prompt)
+        self._record(EventKind.IMPORT, running, running.prompt_tokens)
 
-    def begin(self, request):
-        """Return a request, put into the batch unless it is there."""
+    def start_decode(self, request):
+        """Return a request, and add it to the batch if it is not in it."""
         with self._changed:
             running = self._requests.get(request.request_id)
             if running is None or running.prompt is None:
@@ -146,22 +148,24 @@
             length = natural_length(running.prompt)
             running.length = min(length, request.max_tokens)
             self._changed.notify_all()
-        self._note(EventKind.DECODE, running, running.length)
+        self._record(EventKind.DECODE, running, running.length)
         return running
 
     def next_chunk(self, running, offset):
-        """Return the chunk at an offset, or None when it takes long."""
+        """Return the chunk at an offset, or None after ``CHUNK_WAIT_S``."""
         with self._changed:
             self._changed.wait_for(
-                lambda: not self._known(running) or running.has(offset),
-                timeout=WAIT_S,
+                lambda: (
+                    not self._is_current(running) or running.has_chunk(offset)
+                ),
+                timeout=CHUNK_WAIT_S,
             )
-            if not self._known(running):
+            if not self._is_current(running):
                 raise RefusedError(404, "unknown-request", "cancelled")
-            return running.chunk(offset) if running.has(offset) else None
+            return running.chunk(offset) if running.has_chunk(offset) else None
 
     def cancel(self, request_id):
-        """Free a request; return whether anything was held for it."""
+        """Release a request; return whether anything was held for it."""
         with self._changed:
             running = self._requests.pop(request_id, None)
             held = self._memory.held_by(request_id)
@@ -170,9 +174,9 @@
         return running is not None or held > 0
 
     def held(self):
-        """Return what is held for imported requests and their output."""
+        """Return the memory held for imported requests and their output."""
         with self._changed:
-            known = list(self._requests.values())
+            requests = list(self._requests.values())
         return [
             HeldMemory(
                 request_id=running.request_id,
@@ -180,47 +184,47 @@
                 age_s=running.age_s,
                 fence=running.fence,
             )
-            for running in known
+            for running in requests
         ]
 
-    def loop(self):
-        """Step the batch for as long as the process lives."""
+    def step_forever(self):
+        """Step the batch until the process ends."""
         while True:
             with self._changed:
                 self._changed.wait_for(self._active)
                 step_s = self.step_s
             time.sleep(step_s)
-            self._switch.maybe_die(Stage.DECODE)
+            self._fault_injector.crash_if_set(Stage.DECODE)
             with self._changed:
                 for running in self._active():
                     self._step(running)
                 self._changed.notify_all()
 
-    def _known(self, running):
+    def _is_current(self, running):
         return self._requests.get(running.request_id) is running
 
     def _active(self):
         return [run for run in list(self._requests.values()) if run.active]
 
     def _step(self, running):
-        if not self._has_room(running):
+        if not self._extend_memory(running):
             return
-        token = output_token(running.seed, len(running.given))
-        running.given.append(token)
+        token = output_token(running.seed, len(running.generated))
+        running.generated.append(token)
         if running.finished:
             self._memory.release(running.request_id)
-            self._note(EventKind.FINISH, running, len(running.given))
+            self._record(EventKind.FINISH, running, len(running.generated))
 
-    def _has_room(self, running):
-        used = running.prompt_tokens + len(running.given) + 1
+    def _extend_memory(self, running):
+        used = running.prompt_tokens + len(running.generated) + 1
         needed = self._model.pieces(used)
         missing = needed - self._memory.held_by(running.request_id)
-        return missing <= 0 or self._memory.try_take(
+        return missing <= 0 or self._memory.try_allocate(
             running.request_id, missing
         )
 
-    def _note(self, kind, running, tokens):
-        self._journal.note(
+    def _record(self, kind, running, tokens):
+        self._journal.record(
             kind,
             request_id=running.request_id,
             tokens=tokens,
--- a/currantdeal/testing/engine_http.py
+++ b/currantdeal/testing/engine_http.py
@@ -1,4 +1,7 @@
-"""HTTP interface of the stand-in engine, as ``docs/protocols.md`` has it."""
+"""Serve the stand-in engine over HTTP.
+
+The protocol is described in ``docs/protocols.md``.
+"""
 
 import contextlib
 import threading
@@ -15,21 +18,21 @@
 from currantdeal.testing.errors import RefusedError
 from currantdeal.testing.http_server import StandInHandler
 
-BLOCK = 65_536
+BLOCK_BYTES = 65_536
 FETCH_TIMEOUT_S = 30.0
 KV_PATH = "/engine/kv/"
 
 
 @dataclass(frozen=True, kw_only=True)
 class CancelRequest:
-    """Free what is held for a request."""
+    """Release everything that is held for a request."""
 
     request_id: RequestId
 
 
 @dataclass(frozen=True, kw_only=True)
 class OrderRequest:
-    """An order with the fencing number of who gives it."""
+    """An order with the fencing number of its sender."""
 
     fence: FencingNumber
     order: EngineOrder
@@ -37,33 +40,33 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ExportHead:
-    """First line of an exported KV cache; zeros follow."""
+    """First line of an exported KV cache; zero bytes follow it."""
 
     prompt: str
     tokens: int
 
 
-class Link:
-    """Transfer link of limited rate, shared by all exports."""
+class TransferLink:
+    """Transfer link of limited bandwidth that all exports share."""
 
     def __init__(self, *, bytes_per_s):
-        """Start idle."""
+        """Create an idle link."""
         self._bytes_per_s = bytes_per_s
-        self._free_s = 0.0
+        self._idle_from_s = 0.0
         self._lock = threading.Lock()
 
-    def carry(self, count):
-        """Return once some more bytes may be sent."""
+    def throttle(self, count):
+        """Sleep until the link has carried a number of further bytes."""
         with self._lock:
             now_s = time.monotonic()
-            start_s = max(now_s, self._free_s)
-            self._free_s = start_s + count / self._bytes_per_s
-            wait_s = self._free_s - now_s
+            start_s = max(now_s, self._idle_from_s)
+            self._idle_from_s = start_s + count / self._bytes_per_s
+            wait_s = self._idle_from_s - now_s
         time.sleep(max(0.0, wait_s))
 
 
 class EngineApp:
-    """What the handlers share: the engine, its link and its client.
+    """State that the handlers share: engine, transfer link and HTTP client.
 
     Parameters
     ----------
@@ -72,29 +75,31 @@
     """
 
     def __init__(self, *, core):
-        """Open no connection yet."""
+        """Create the link and a client without open connections."""
         self.core = core
-        self.link = Link(bytes_per_s=core.profile.model.link_bytes_per_s)
+        self.link = TransferLink(
+            bytes_per_s=core.profile.model.link_bytes_per_s
+        )
         self._pool = urllib3.PoolManager(retries=False, maxsize=16)
 
     def fetch(self, request):
-        """Return the prompt whose KV cache another engine exports."""
+        """Fetch a KV cache from another engine and return its prompt."""
         url = f"http://{request.source_address}{KV_PATH}{request.kv_id}"
         timeout = urllib3.Timeout(connect=2.0, read=FETCH_TIMEOUT_S)
         try:
-            answer = self._pool.request("GET", url, timeout=timeout)
+            response = self._pool.request("GET", url, timeout=timeout)
         except urllib3.exceptions.HTTPError as exc:
             raise RefusedError(502, "transfer-failed", str(exc)) from exc
-        if answer.status == 410:
+        if response.status == 410:
             raise RefusedError(410, "kv-expired")
-        if answer.status != 200:
-            raise RefusedError(502, "transfer-failed", str(answer.status))
-        head, _, _ = answer.data.partition(b"\n")
+        if response.status != 200:
+            raise RefusedError(502, "transfer-failed", str(response.status))
+        head, _, _ = response.data.partition(b"\n")
         return msgspec.json.decode(head, type=ExportHead).prompt
 
 
 class EngineHandler(StandInHandler):
-    """One connection to the engine."""
+    """Handler of one connection to the engine."""
 
     @property
     def _core(self):
@@ -102,34 +107,34 @@
 
     @property
     def _faults(self):
-        return self._core.switch.faults
+        return self._core.fault_injector.faults
 
     def do_GET(self):  # noqa: N802
-        """Answer reads."""
+        """Handle reads and exports."""
         if self.path == "/control/journal":
             self.send_json({"events": self._core.journal.events})
         elif self.path == "/control":
             self.send_json(self._faults)
-        elif not self._holds_still():
-            self._answer(self._get)
+        elif not self._peer_closed_while_silent():
+            self._run_handler(self._get)
 
     def do_POST(self):  # noqa: N802
-        """Answer calls."""
+        """Handle engine calls and fault settings."""
         if self.path == "/control":
-            self._answer(self._control)
-        elif not self._holds_still():
-            self._answer(self._post)
+            self._run_handler(self._control)
+        elif not self._peer_closed_while_silent():
+            self._run_handler(self._post)
 
-    def _holds_still(self):
-        return not self.hold_while(lambda: self._faults.lie_silent)
+    def _peer_closed_while_silent(self):
+        return not self.block_while(lambda: self._faults.lie_silent)
 
-    def _answer(self, work):
+    def _run_handler(self, handler):
         try:
-            work()
+            handler()
         except RefusedError as exc:
             self.send_refusal(exc)
         except OSError:
-            # The caller went away; what it left is cancelled by others.
+            # The caller disconnected. The instances cancel what it left.
             self.close_connection = True
 
     def _get(self):
@@ -141,10 +146,10 @@
             raise RefusedError(404, "unknown-path")
 
     def _post(self):
-        work = _POSTS.get(self.path)
-        if work is None:
+        handler = _POSTS.get(self.path)
+        if handler is None:
             raise RefusedError(404, "unknown-path")
-        work(self)
+        handler(self)
 
     def _control(self):
         changes = self.read_json(dict)
@@ -153,7 +158,7 @@
             faults = msgspec.convert(merged, EngineFaults)
         except msgspec.ValidationError as exc:
             raise RefusedError(400, "bad-request", str(exc)) from exc
-        self._core.switch.set(faults)
+        self._core.fault_injector.set(faults)
         self.send_json(faults)
 
     def _prefill(self):
@@ -165,9 +170,9 @@
         running = self._core.reserve(request)
         try:
             prompt = self.app.fetch(request)
-            self._core.decodes.admit(running, prompt)
+            self._core.decode_batch.finish_import(running, prompt)
         except RefusedError:
-            self._core.decodes.abort(running)
+            self._core.decode_batch.abort_import(running)
             raise
         self.send_json({})
 
@@ -181,12 +186,12 @@
         self.send_json({})
 
     def _export(self, kv_id):
-        result = self._core.prefills.take(kv_id)
+        result = self._core.prefill_pool.start_export(kv_id)
         sent = False
         try:
             sent = self._send_kv(result)
         finally:
-            self._core.prefills.end_export(result, sent=sent)
+            self._core.prefill_pool.end_export(result, sent=sent)
 
     def _send_kv(self, result):
         head = ExportHead(prompt=result.prompt, tokens=result.tokens)
@@ -203,52 +208,56 @@
         left = size
         while left > 0:
             if left <= size // 2 and self._faults.stall_transfer:
-                self.hold_while(lambda: self._stalls(result))
-            if not self._core.prefills.is_exporting(result.kv_id):
+                self.block_while(lambda: self._is_stalled(result))
+            if not self._core.prefill_pool.is_exporting(result.kv_id):
                 self.close_connection = True
                 return False
-            count = min(left, BLOCK)
-            self.app.link.carry(count)
-            self._core.switch.maybe_die(Stage.EXPORT)
+            count = min(left, BLOCK_BYTES)
+            self.app.link.throttle(count)
+            self._core.fault_injector.crash_if_set(Stage.EXPORT)
             self.wfile.write(bytes(count))
             left -= count
         return True
 
-    def _stalls(self, result):
-        exporting = self._core.prefills.is_exporting(result.kv_id)
+    def _is_stalled(self, result):
+        exporting = self._core.prefill_pool.is_exporting(result.kv_id)
         return exporting and self._faults.stall_transfer
 
     def _decode(self):
         request = self.read_json(DecodeRequest)
-        running = self._core.decodes.begin(request)
-        opened = self._faults.silence_open_streams
+        running = self._core.decode_batch.start_decode(request)
+        silence_count = self._faults.silence_open_streams
         self.send_response(200)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         with contextlib.suppress(RefusedError):
-            self._send_chunks(running, request.offset, opened)
+            self._send_chunks(running, request.offset, silence_count)
             self.wfile.write(b"0\r\n\r\n")
             return
         self.close_connection = True
 
-    def _send_chunks(self, running, offset, opened):
+    def _send_chunks(self, running, offset, silence_count):
         finished = False
         while not finished:
-            if not self.hold_while(lambda: self._silenced(opened)):
+            if not self.block_while(lambda: self._is_silenced(silence_count)):
                 raise RefusedError(499, "gone")
-            chunk = self._core.decodes.next_chunk(running, offset)
+            chunk = self._core.decode_batch.next_chunk(running, offset)
             if chunk is not None:
                 self._send_chunk(chunk)
                 finished = bool(chunk.finish_reason)
                 offset += 1
-            elif self.peer_left():
+            elif self.peer_closed():
                 raise RefusedError(499, "gone")
 
-    def _silenced(self, opened):
+    def _is_silenced(self, silence_count):
         faults = self._faults
-        later = faults.silence_open_streams > opened
-        return later or faults.silence_all_streams or faults.lie_silent
+        silenced_since_open = faults.silence_open_streams > silence_count
+        return (
+            silenced_since_open
+            or faults.silence_all_streams
+            or faults.lie_silent
+        )
 
     def _send_chunk(self, chunk):
         event = b"data: " + msgspec.json.encode(chunk) + b"\n\n"
--- a/currantdeal/testing/engine_journal.py
+++ b/currantdeal/testing/engine_journal.py
@@ -1,4 +1,4 @@
-"""Journal and fault switch of the stand-in engine."""
+"""Record the stand-in engine's events and hold its fault settings."""
 
 import os
 import threading
@@ -10,25 +10,25 @@
     Stage,
 )
 
-DEATH_STATUS = 9
+CRASH_EXIT_STATUS = 9
 
 
 class Journal:
-    """What happened on the engine, oldest first."""
+    """Events of the engine, oldest first."""
 
     def __init__(self):
-        """Start empty."""
+        """Create an empty journal."""
         self._events = []
         self._lock = threading.Lock()
 
     @property
     def events(self):
-        """Everything so far."""
+        """All events so far."""
         with self._lock:
             return tuple(self._events)
 
-    def note(self, kind, *, request_id="", tokens=0, fence=0, detail=""):
-        """Add an event that happens now."""
+    def record(self, kind, *, request_id="", tokens=0, fence=0, detail=""):
+        """Append an event with the current time."""
         event = EngineEvent(
             kind=kind,
             wall_s=time.time(),
@@ -41,8 +41,8 @@
             self._events.append(event)
 
 
-class FaultSwitch:
-    """Holds the faults that are set at present."""
+class FaultInjector:
+    """Holds the current fault settings and crashes the process if set."""
 
     def __init__(self):
         """Start without faults."""
@@ -50,14 +50,14 @@
 
     @property
     def faults(self):
-        """Faults that are set."""
+        """Current fault settings."""
         return self._faults
 
     def set(self, faults):
-        """Replace the faults."""
+        """Replace the fault settings."""
         self._faults = faults
 
-    def maybe_die(self, stage):
-        """End the process without a word if a fault says so."""
+    def crash_if_set(self, stage):
+        """Exit the process at once if ``die_at`` names this stage."""
         if self._faults.die_at is stage and stage is not Stage.NONE:
-            os._exit(DEATH_STATUS)
+            os._exit(CRASH_EXIT_STATUS)
--- a/currantdeal/testing/engine_memory.py
+++ b/currantdeal/testing/engine_memory.py
@@ -1,4 +1,4 @@
-"""Memory of the stand-in engine: fixed-size pieces and a prefix cache."""
+"""Provide the stand-in engine's memory pieces and its prefix cache."""
 
 import random
 import threading
@@ -11,12 +11,12 @@
 
 
 class SharedMemory:
-    """Pieces of engine memory by owner; safe to use from any thread.
+    """Thread-safe count of the memory pieces that each owner holds.
 
     Parameters
     ----------
     pieces : int
-        Pieces in total.
+        Total number of pieces.
     """
 
     def __init__(self, *, pieces):
@@ -31,22 +31,22 @@
             return self._memory.free
 
     def held_by(self, owner):
-        """Return the pieces that an owner holds."""
+        """Return the number of pieces that an owner holds."""
         with self._lock:
             return self._memory.held.get(owner, 0)
 
-    def take(self, owner, pieces):
-        """Give an owner pieces, or raise ``RefusedError``."""
-        if not self.try_take(owner, pieces):
+    def allocate(self, owner, pieces):
+        """Allocate pieces to an owner, or raise ``RefusedError``."""
+        if not self.try_allocate(owner, pieces):
             raise RefusedError(429, "full", f"{self.free} pieces are free")
 
-    def try_take(self, owner, pieces):
-        """Return whether an owner got some more pieces."""
+    def try_allocate(self, owner, pieces):
+        """Allocate pieces to an owner; return whether enough were free."""
         with self._lock:
             return self._memory.take(owner, pieces)
 
     def release(self, owner):
-        """Free whatever an owner holds."""
+        """Free all pieces of an owner."""
         with self._lock:
             self._memory.release(owner)
 
@@ -59,24 +59,25 @@
 
 
 class ReportingCache:
-    """Prefix cache whose events reach the load report late, or never.
+    """Prefix cache whose events reach the load report late or are lost.
 
-    What is reported may therefore be wrong in both directions.
+    The report may therefore list blocks that were evicted and omit blocks that
+    are cached.
 
     Parameters
     ----------
     blocks : int
-        Blocks held at most.
+        Maximum number of blocks held.
     lag_s : float
-        Age at which an event shows, in seconds.
+        Delay until an event appears in the report, in seconds.
     loss : float
-        Share of events that never show.
+        Fraction of events that are lost.
     seed : int
-        Seed of which events get lost.
+        Seed of the random loss.
     """
 
     def __init__(self, *, blocks, lag_s, loss, seed):
-        """Start empty."""
+        """Create an empty cache."""
         self._cache = PrefixCache(blocks=blocks)
         self._lag_s = lag_s
         self._loss = loss
@@ -86,19 +87,19 @@
         self._lock = threading.Lock()
 
     def use(self, prompt, now_s):
-        """Return the leading tokens found, and keep the whole prompt."""
+        """Cache a prompt; return how many leading tokens were cached."""
         keys = prefix_keys(prompt)
         with self._lock:
             before = set(self._cache.keys)
-            found = self._cache.match(keys)
+            matched = self._cache.match(keys)
             self._cache.add(keys)
             after = set(self._cache.keys)
-            self._tell(sorted(after - before), True, now_s)
-            self._tell(sorted(before - after), False, now_s)
-        return found
+            self._queue_events(sorted(after - before), True, now_s)
+            self._queue_events(sorted(before - after), False, now_s)
+        return matched
 
     def reported(self, now_s):
-        """Return the keys that the events so far told of."""
+        """Return the cached keys according to the events reported so far."""
         with self._lock:
             while self._events and self._events[0].at_s <= now_s - self._lag_s:
                 event = self._events.popleft()
@@ -108,7 +109,7 @@
                     self._reported.pop(event.key, None)
             return tuple(self._reported)
 
-    def _tell(self, keys, present, now_s):
+    def _queue_events(self, keys, present, now_s):
         for key in keys:
             if self._random.random() >= self._loss:
                 event = _CacheEvent(at_s=now_s, key=key, present=present)
--- a/currantdeal/testing/engine_messages.py
+++ b/currantdeal/testing/engine_messages.py
@@ -1,4 +1,7 @@
-"""What the stand-in engine is told by tests, and what it tells them."""
+"""Define the stand-in engine's fault settings, events and profile.
+
+Tests send the fault settings and read the events over HTTP.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +10,7 @@
 
 
 class Stage(str, Enum):
-    """Part of a request in which the engine can be made to die."""
+    """Stage of a request at which the engine process can be made to exit."""
 
     NONE = ""
     PREFILL = "prefill"
@@ -18,27 +21,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineFaults:
-    """Faults that a control call sets; a call replaces what it names.
+    """Faults that a control call sets; fields that it omits keep their value.
 
     Parameters
     ----------
     stall_transfer : bool
-        Exports send half of the KV cache and then nothing more.
+        Exports stall after half of the KV cache.
     silence_open_streams : int
-        Streams that are open when this number grows send nothing more,
-        without being closed; later ones work.
+        Streams that are open when this number is increased send nothing more
+        but stay open; streams opened later work.
     silence_all_streams : bool
-        No stream sends anything.
+        No stream sends anything, but all stay open.
     slow_factor : float
-        Every step and prefill takes this many times as long.
+        Factor on the duration of every step and prefill.
     refuse : bool
-        New prefills and imports are refused as full.
+        New prefills and imports are refused with the error ``full``.
     die_at : Stage
-        The process ends without a word when a request reaches this stage.
+        The process exits at once, without notice to its peers, when a request
+        reaches this stage.
     lie_silent : bool
-        Nothing is answered or renewed, connections stay open.
+        Requests get no response and renewals stop; connections stay open.
     stop_renewing : bool
-        Requests are served, but the engine renews no more.
+        Renewals stop while requests are still served.
     """
 
     stall_transfer: bool = False
@@ -52,7 +56,7 @@
 
 
 class EventKind(str, Enum):
-    """What the engine writes into its journal."""
+    """Kind of a journal entry."""
 
     PREFILL = "prefill"
     EXPORT = "export"
@@ -71,9 +75,9 @@
     Parameters
     ----------
     wall_s : float
-        When it happened, in seconds since the epoch.
+        Time of the event, in seconds since the epoch.
     tokens : int
-        Prompt tokens computed, or output tokens given.
+        Prompt tokens computed, or output tokens generated.
     fence : int
         Fencing number that came with the request.
     """
@@ -88,20 +92,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineProfile:
-    """What a stand-in engine is built like.
+    """Configuration of a stand-in engine.
 
     Parameters
     ----------
     model : EngineModel
         Its speed and size.
     models : tuple of str
-        Names of the models it has loaded at start.
+        Names of the models that are loaded at start.
     load_lag_s : float
-        Age of the load that is reported, in seconds.
+        Age of the reported load, in seconds.
     event_loss : float
-        Share of cache events that get lost.
+        Fraction of cache events that are lost.
     seed : int
-        Seed of what is random.
+        Seed of the random loss of cache events.
     """
 
     upstream_id: str
--- a/currantdeal/testing/engine_model.py
+++ b/currantdeal/testing/engine_model.py
@@ -1,10 +1,10 @@
-"""Rules of a model engine's time and memory, without time or network.
+"""Model the time and memory of a model engine, without clock or network.
 
-The stand-in engine, which is a real process, and the fake engine of the load
-experiments follow the same rules, so that a decision measured over the fake
-meets the same engine in a system test.
+The stand-in engine, which is a real process, and the simulated engine of the
+load experiments share this model, so that a decision measured in simulation
+is tested against the same engine behaviour in a system test.
 
-The figures stand for a mid-sized model on one worker: a decode step is bound
+The defaults represent a mid-sized model on one worker: a decode step is bound
 by reading the weights, so it grows slowly with the batch; prompt tokens
 computed within a step lengthen it; a prefill of some thousand tokens takes as
 long as some tens of decode steps.
@@ -32,23 +32,25 @@
     Parameters
     ----------
     step_base_s, step_per_request_s : float
-        A decode step's fixed time and its growth with each request, seconds.
+        Fixed time of a decode step and its increase with each request of the
+        batch, in seconds.
     prefill_base_s : float
         Fixed time of one prefill, in seconds.
     prefill_tokens_per_s : float
         Rate of prefill, in tokens a second.
     pieces_total, tokens_per_piece : int
-        Engine memory and the size of a piece.
+        Memory of the engine in pieces, and tokens that fit into a piece.
     kv_bytes_per_token : int
         Size of the KV cache of one token, in bytes.
     link_bytes_per_s : float
         Rate of the transfer link, in bytes a second.
     kv_expiry_s : float
-        How long a prefill result that nobody fetches is kept, in seconds.
+        Time for which a prefill result is kept until it is fetched, in
+        seconds.
     cache_blocks : int
-        Prefix blocks that the prefix cache holds.
+        Capacity of the prefix cache, in blocks.
     slowdown : float
-        Factor on all times; above 1 the engine is slow.
+        Factor on step and prefill times; above 1 the engine is slow.
     """
 
     step_base_s: float = 0.012
@@ -64,7 +66,7 @@
     slowdown: float = 1.0
 
     def step_s(self, *, batch, prefill_tokens=0):
-        """Return the time of a decode step, in seconds.
+        """Return the duration of a decode step, in seconds.
 
         ``prefill_tokens`` are prompt tokens computed within the same step.
         """
@@ -73,26 +75,26 @@
         return self.slowdown * (decode_s + shared_s)
 
     def prefill_s(self, *, tokens, cached_tokens=0):
-        """Return the time of a prefill that has the engine to itself."""
+        """Return the duration of a prefill on an otherwise idle engine."""
         computed = max(0, tokens - cached_tokens)
         computing_s = computed / self.prefill_tokens_per_s
         return self.slowdown * (self.prefill_base_s + computing_s)
 
     def pieces(self, tokens):
-        """Return the pieces that the KV cache of some tokens takes."""
+        """Return the number of pieces that the KV cache of tokens needs."""
         return -(-tokens // self.tokens_per_piece)
 
     def kv_bytes(self, tokens):
-        """Return the size of the KV cache of some tokens, in bytes."""
+        """Return the size of the KV cache of tokens, in bytes."""
         return tokens * self.kv_bytes_per_token
 
     def transfer_s(self, *, tokens, sharers=1):
-        """Return the time of a transfer that shares its link evenly."""
+        """Return the duration of a transfer if its link is shared evenly."""
         return self.kv_bytes(tokens) * sharers / self.link_bytes_per_s
 
 
 class PieceMemory:
-    """Engine memory in fixed-size pieces, by request.
+    """Memory pieces of fixed size that requests hold.
 
     Examples
     --------
@@ -110,16 +112,16 @@
 
     @property
     def free(self):
-        """Pieces that nobody holds."""
+        """Number of free pieces."""
         return self._total - self._used
 
     @property
     def held(self):
-        """Mapping of request ids to the pieces they hold."""
+        """Number of pieces held, by request id."""
         return dict(self._held)
 
     def take(self, request_id, pieces):
-        """Return whether the request now holds that many more pieces."""
+        """Allocate pieces to a request; return whether enough were free."""
         if pieces > self.free:
             return False
         self._held[request_id] = self._held.get(request_id, 0) + pieces
@@ -127,46 +129,46 @@
         return True
 
     def release(self, request_id):
-        """Free all pieces of a request and return how many they were."""
+        """Free all pieces of a request and return their number."""
         pieces = self._held.pop(request_id, 0)
         self._used -= pieces
         return pieces
 
 
 class PrefixCache:
-    """Prompt prefixes that an engine remembers, least recently used first.
+    """Prompt prefixes that an engine caches, with LRU eviction.
 
     Parameters
     ----------
     blocks : int
-        Blocks of ``BLOCK_TOKENS`` tokens it can hold.
+        Capacity, in blocks of ``BLOCK_TOKENS`` tokens.
     """
 
     def __init__(self, *, blocks):
-        """Start empty."""
-        self._blocks = blocks
-        self._known = OrderedDict()
+        """Create an empty cache."""
+        self._capacity = blocks
+        self._lru_blocks = OrderedDict()
 
     @property
     def keys(self):
         """Keys of the blocks held, least recently used first."""
-        return tuple(self._known)
+        return tuple(self._lru_blocks)
 
     def match(self, prefix_keys):
-        """Return how many leading tokens of a prompt are held."""
-        found = 0
+        """Return how many leading tokens of a prompt are cached."""
+        matched = 0
         for key in prefix_keys:
-            if key not in self._known:
+            if key not in self._lru_blocks:
                 break
-            found += 1
-        return found * BLOCK_TOKENS
+            matched += 1
+        return matched * BLOCK_TOKENS
 
     def add(self, prefix_keys):
-        """Hold a prompt's blocks and forget the least recently used ones."""
-        # Later blocks are of no use without earlier ones, so they are made
-        # older: eviction then cuts a prefix at its end.
+        """Cache a prompt's blocks and evict the least recently used ones."""
+        # Later blocks are of no use without earlier ones, so they are marked
+        # as less recently used: eviction then shortens a prefix from its end.
         for key in reversed(prefix_keys):
-            self._known[key] = None
-            self._known.move_to_end(key)
-        while len(self._known) > self._blocks:
-            self._known.popitem(last=False)
+            self._lru_blocks[key] = None
+            self._lru_blocks.move_to_end(key)
+        while len(self._lru_blocks) > self._capacity:
+            self._lru_blocks.popitem(last=False)
--- a/currantdeal/testing/engine_prefill.py
+++ b/currantdeal/testing/engine_prefill.py
@@ -1,7 +1,6 @@
-"""Prefill half of the stand-in engine.
+"""Simulate prefill: a priority queue that computes one prompt at a time.
 
-Prefills are computed one at a time, by priority; a result waits a short time
-to be fetched and is then thrown away.
+A result that is not fetched within a short time is discarded.
 """
 
 import heapq
@@ -18,24 +17,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KvResult:
-    """A prefill result that waits to be fetched."""
+    """A prefill result that another engine can fetch."""
 
     kv_id: str
     request_id: str
     prompt: str
     tokens: int
-    done_s: float
+    completed_at_s: float
     fence: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class QueuedPrefill:
-    """A prefill that waits or is computed; its memory is taken already."""
+    """A prefill that waits or is computed; its memory is reserved."""
 
     kv_id: str
     request: PrefillRequest
     tokens: int
-    since_s: float
+    queued_at_s: float
 
 
 class PrefillPool:
@@ -44,53 +43,53 @@
     Parameters
     ----------
     profile : EngineProfile
-        What the engine is built like.
+        Configuration of the engine.
     memory : SharedMemory
-        Shared with the decodes.
+        Memory of the engine, shared with the decode batch.
     cache : ReportingCache
-        Prompt prefixes that need no computing.
+        Prompt prefixes that need not be computed again.
     journal : Journal
-        Takes what happens.
-    switch : FaultSwitch
-        Faults that are set.
+        Records the events of prefills and exports.
+    fault_injector : FaultInjector
+        Current fault settings.
     """
 
-    def __init__(self, *, profile, memory, cache, journal, switch):
+    def __init__(self, *, profile, memory, cache, journal, fault_injector):
         """Start with nothing queued."""
         self._model = profile.model
         self._memory = memory
         self._cache = cache
         self._journal = journal
-        self._switch = switch
+        self._fault_injector = fault_injector
         self._changed = threading.Condition()
         self._tickets = itertools.count(1)
-        self._turns = []
+        self._ticket_heap = []
         self._queued = {}
         self._results = {}
         self._exporting = {}
 
     @property
     def queued(self):
-        """Number of prefills that wait or are computed."""
-        return len(self._turns)
+        """Number of prefills that wait or are being computed."""
+        return len(self._ticket_heap)
 
     @property
     def queued_tokens(self):
-        """Prompt tokens that wait or are computed."""
+        """Prompt tokens that wait or are being computed."""
         with self._changed:
             return sum(queued.tokens for queued in self._queued.values())
 
     def run(self, request):
-        """Compute a KV cache when its turn comes, and keep the result."""
+        """Wait in the queue, compute a KV cache and keep the result."""
         tokens = count_tokens(request.prompt)
         ticket = (-request.priority, next(self._tickets))
         queued = QueuedPrefill(
             kv_id=f"{request.request_id}.{ticket[1]}",
             request=request,
             tokens=tokens,
-            since_s=time.monotonic(),
+            queued_at_s=time.monotonic(),
         )
-        self._memory.take(queued.kv_id, self._model.pieces(tokens))
+        self._memory.allocate(queued.kv_id, self._model.pieces(tokens))
         try:
             cached = self._wait_and_compute(ticket, queued)
         except RefusedError:
@@ -103,8 +102,8 @@
             expires_in_s=self._model.kv_expiry_s,
         )
 
-    def take(self, kv_id):
-        """Return a result for export; it no longer expires."""
+    def start_export(self, kv_id):
+        """Return a result for export and stop its expiry."""
         with self._changed:
             result = self._results.pop(kv_id, None)
             if result is None:
@@ -113,24 +112,24 @@
         return result
 
     def is_exporting(self, kv_id):
-        """Return whether the export goes on; a cancel ends it."""
+        """Return whether the export is still active; a cancel ends it."""
         return kv_id in self._exporting
 
     def end_export(self, result, *, sent):
-        """Free a result that was fetched, or whose fetch was cut off."""
+        """Release a result whose fetch completed or was interrupted."""
         with self._changed:
-            known = self._exporting.pop(result.kv_id, None)
-        if known is not None:
+            exported = self._exporting.pop(result.kv_id, None)
+        if exported is not None:
             kind = EventKind.EXPORT if sent else EventKind.KV_EXPIRED
-            self._free(result, kind)
+            self._release(result, kind)
 
     def expire(self):
-        """Throw away results that waited too long."""
+        """Discard results older than ``kv_expiry_s``."""
         oldest_s = time.monotonic() - self._model.kv_expiry_s
-        self._drop(lambda result: result.done_s <= oldest_s)
+        self._discard(lambda result: result.completed_at_s <= oldest_s)
 
     def cancel(self, request_id):
-        """Drop queued prefills and results; return whether there were any."""
+        """Remove queued prefills and results; return whether any existed."""
         with self._changed:
             tickets = [
                 ticket
@@ -147,20 +146,25 @@
             ]
         for result in exports:
             self.end_export(result, sent=False)
-        dropped = self._drop(lambda result: result.request_id == request_id)
-        return bool(tickets or exports) or dropped
+        discarded = self._discard(
+            lambda result: result.request_id == request_id
+        )
+        return bool(tickets or exports) or discarded
 
     def held(self):
-        """Return what is held for prefills and for their results."""
+        """Return the memory held for prefills and their results."""
         with self._changed:
             queued = list(self._queued.values())
             results = [*self._results.values(), *self._exporting.values()]
         return [
             *(
-                self._held(one.kv_id, one.request, one.since_s)
-                for one in queued
+                self._held(prefill.kv_id, prefill.request, prefill.queued_at_s)
+                for prefill in queued
+            ),
+            *(
+                self._held(result.kv_id, result, result.completed_at_s)
+                for result in results
             ),
-            *(self._held(one.kv_id, one, one.done_s) for one in results),
         ]
 
     def _held(self, kv_id, request, since_s):
@@ -175,80 +179,85 @@
         self._enqueue(ticket, queued)
         try:
             self._await_turn(ticket)
-            self._switch.maybe_die(Stage.PREFILL)
+            self._fault_injector.crash_if_set(Stage.PREFILL)
             prompt = queued.request.prompt
-            found = self._cache.use(prompt, time.monotonic())
-            cached = min(found, queued.tokens - 1)
+            matched = self._cache.use(prompt, time.monotonic())
+            cached = min(matched, queued.tokens - 1)
             self._compute(ticket, queued, cached)
         finally:
-            self._leave(ticket)
+            self._dequeue(ticket)
         return cached
 
     def _compute(self, ticket, queued, cached):
-        time_s = self._time_s(queued.tokens, cached)
+        time_s = self._compute_time_s(queued.tokens, cached)
         started_s = time.monotonic()
         with self._changed:
             cancelled = self._changed.wait_for(
                 lambda: ticket not in self._queued, timeout=time_s
             )
             if not cancelled:
-                self._keep(self._queued.pop(ticket))
-        share = min(1.0, (time.monotonic() - started_s) / time_s)
-        computed = round((queued.tokens - cached) * share)
-        self._note(EventKind.PREFILL, queued.request, computed)
+                self._store_result(self._queued.pop(ticket))
+        fraction = min(1.0, (time.monotonic() - started_s) / time_s)
+        computed = round((queued.tokens - cached) * fraction)
+        self._record(EventKind.PREFILL, queued.request, computed)
         if cancelled:
-            self._note(EventKind.KV_EXPIRED, queued.request, computed)
+            self._record(EventKind.KV_EXPIRED, queued.request, computed)
             raise RefusedError(404, "unknown-request", "cancelled")
 
-    def _keep(self, queued):
+    def _store_result(self, queued):
         self._results[queued.kv_id] = KvResult(
             kv_id=queued.kv_id,
             request_id=queued.request.request_id,
             prompt=queued.request.prompt,
             tokens=queued.tokens,
-            done_s=time.monotonic(),
+            completed_at_s=time.monotonic(),
             fence=queued.request.fence,
         )
 
-    def _time_s(self, tokens, cached):
-        plain_s = self._model.prefill_s(tokens=tokens, cached_tokens=cached)
-        return plain_s * self._switch.faults.slow_factor
+    def _compute_time_s(self, tokens, cached):
+        unscaled_s = self._model.prefill_s(tokens=tokens, cached_tokens=cached)
+        return unscaled_s * self._fault_injector.faults.slow_factor
 
     def _enqueue(self, ticket, queued):
         with self._changed:
-            heapq.heappush(self._turns, ticket)
+            heapq.heappush(self._ticket_heap, ticket)
             self._queued[ticket] = queued
 
     def _await_turn(self, ticket):
         with self._changed:
             self._changed.wait_for(
-                lambda: self._turns[0] == ticket or ticket not in self._queued
+                lambda: (
+                    self._ticket_heap[0] == ticket
+                    or ticket not in self._queued
+                )
             )
             if ticket not in self._queued:
                 raise RefusedError(404, "unknown-request", "cancelled")
 
-    def _leave(self, ticket):
+    def _dequeue(self, ticket):
         with self._changed:
             self._queued.pop(ticket, None)
-            self._turns.remove(ticket)
-            heapq.heapify(self._turns)
+            self._ticket_heap.remove(ticket)
+            heapq.heapify(self._ticket_heap)
             self._changed.notify_all()
 
-    def _drop(self, matches):
+    def _discard(self, matches):
         with self._changed:
-            dropped = [res for res in self._results.values() if matches(res)]
-            for result in dropped:
+            discarded = [
+                result for result in self._results.values() if matches(result)
+            ]
+            for result in discarded:
                 del self._results[result.kv_id]
-        for result in dropped:
-            self._free(result, EventKind.KV_EXPIRED)
-        return bool(dropped)
+        for result in discarded:
+            self._release(result, EventKind.KV_EXPIRED)
+        return bool(discarded)
 
-    def _free(self, result, kind):
+    def _release(self, result, kind):
         self._memory.release(result.kv_id)
-        self._note(kind, result, result.tokens)
+        self._record(kind, result, result.tokens)
 
-    def _note(self, kind, request, tokens):
-        self._journal.note(
+    def _record(self, kind, request, tokens):
+        self._journal.record(
             kind,
             request_id=request.request_id,
             tokens=tokens,
--- a/currantdeal/testing/entry_world.py
+++ b/currantdeal/testing/entry_world.py
@@ -1,4 +1,7 @@
-"""An entry in this process, with stand-ins as upstreams and raw callers."""
+"""Run an entry in the test process, with stand-ins as upstreams.
+
+Tests send it raw bytes over TCP connections.
+"""
 
 import asyncio
 import random
@@ -77,22 +80,22 @@
 
 
 class EntryWorld:
-    """An entry and what it knows.
+    """An entry, and calls to announce upstreams to it and to send requests.
 
     Parameters
     ----------
     context : EntryContext
-        Shared by the requests.
+        Context that all requests share.
     service : EntryService
-        Handles them.
+        Handler of the requests.
     server : HttpServer
-        Listens for callers.
+        Server that accepts callers' connections.
     address : tuple
         Host and port of the entry.
     """
 
     def __init__(self, *, context, service, server, address):
-        """Keep the parts."""
+        """Keep the components."""
         self.context = context
         self.service = service
         self.server = server
@@ -131,7 +134,7 @@
         return reader, writer
 
     async def ask(self, raw, *, timeout_s=5.0):
-        """Send a request that closes its connection; returns all bytes."""
+        """Send a request that closes its connection; return all bytes."""
         reader, writer = await self.send(raw)
         async with asyncio.timeout(timeout_s):
             answer = await read_to_end(reader)
@@ -140,18 +143,21 @@
 
 
 async def read_to_end(reader):
-    """Return all bytes until the connection ends, however it ends."""
-    parts = []
+    """Return all bytes up to the end of the connection.
+
+    A reset is returned as ``<reset>`` after the bytes.
+    """
+    received = []
     try:
         while data := await reader.read(65_536):
-            parts.append(data)
+            received.append(data)
     except ConnectionError:
-        parts.append(b"<reset>")
-    return b"".join(parts)
+        received.append(b"<reset>")
+    return b"".join(received)
 
 
 def request_bytes(target, *, method="POST", body=b"x", more=(), close=True):
-    """Return the bytes of a proper request."""
+    """Return the bytes of a well-formed request."""
     lines = [
         f"{method} {target} HTTP/1.1",
         "Host: cakes.example",
@@ -171,12 +177,12 @@
     "X-Currantdeal-Token-Counts: 3000,900",
     "X-Currantdeal-Length-Hint: 500",
 )
-"""Headers that make a request a generation."""
+"""Headers that mark a request as a generation."""
 
 
 @asynccontextmanager
 async def entry_world(*, config=None, allowance=100.0):
-    """Run an entry for the time of a test."""
+    """Run an entry for the duration of a test."""
     loop = asyncio.get_running_loop()
     view = EntryView(
         read_config=decode_config,
--- a/currantdeal/testing/errors.py
+++ b/currantdeal/testing/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the stand-ins and of the harness."""
+"""Define the errors of the stand-ins and of the test harness."""
 
 from currantdeal.core import CurrantdealError
 
 
 class BenchError(CurrantdealError):
-    """Base of the errors of ``currantdeal.testing``."""
+    """Base class of the errors of ``currantdeal.testing``."""
 
 
 class RefusedError(BenchError):
-    """The stand-in refuses; becomes an HTTP answer.
+    """A stand-in refuses a request; sent as an HTTP error response.
 
     Parameters
     ----------
@@ -19,11 +19,11 @@
     """
 
     def __init__(self, status, name, message=""):
-        """Keep what the HTTP answer needs."""
+        """Keep the status and the reason for the HTTP response."""
         super().__init__(message or name)
         self.status = status
         self.name = name
 
 
 class HarnessError(BenchError):
-    """A process of the harness did not do what was waited for."""
+    """A process of the harness failed or did not respond as expected."""
--- a/currantdeal/testing/fake_upstreams.py
+++ b/currantdeal/testing/fake_upstreams.py
@@ -1,6 +1,6 @@
-"""Fakes at the ports of upstreams, and a clock that tests set.
+"""Provide fake implementations of the upstream ports and a manual clock.
 
-They run in the test's own process and do what a test scripted.
+They run in the test process and follow a script that the test sets.
 """
 
 import threading
@@ -11,30 +11,30 @@
 
 
 class ManualClock:
-    """Clock that only moves when it is told to, or slept on."""
+    """Clock that advances only when ``sleep`` is called."""
 
     def __init__(self, *, now_s=100.0):
-        """Start at a time."""
+        """Set the start time."""
         self._now_s = now_s
         self._lock = threading.Lock()
 
     def monotonic_s(self):
-        """Return the time set."""
+        """Return the current time of this clock."""
         return self._now_s
 
     def wall_s(self):
-        """Return the time set, as if since the epoch."""
+        """Return the time of this clock as if it were since the epoch."""
         return self._now_s
 
     def sleep(self, seconds):
-        """Move on by the time slept."""
+        """Advance the clock without waiting."""
         with self._lock:
             self._now_s += seconds
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sent:
-    """One call that reached a fake."""
+class RecordedCall:
+    """One call that a fake received."""
 
     name: str
     upstream_id: str
@@ -43,16 +43,16 @@
 
 
 class FakeEngines:
-    """Implements ``ports.EnginePort`` by scripts.
+    """Fake ``ports.EnginePort`` that follows scripts.
 
     Parameters
     ----------
     tokens : int
-        Length of every output, unless a script says otherwise.
+        Length of every output that is not scripted.
     """
 
     def __init__(self, *, tokens=3):
-        """Do everything right and at once."""
+        """Create a fake on which every call succeeds at once."""
         self.tokens = tokens
         self.sent = []
         self.cancelled = []
@@ -61,13 +61,13 @@
         self.decodes = []
 
     def names(self):
-        """Return the names of the calls so far, in order."""
-        return [each.name for each in self.sent]
+        """Return the names of the received calls, in order."""
+        return [call.name for call in self.sent]
 
     def prefill(self, upstream, request, *, timeout_s):
-        """Do the next scripted thing, or succeed."""
-        self._note("prefill", upstream, request)
-        _play(self.on_prefill)
+        """Run the next scripted step, or succeed."""
+        self._record("prefill", upstream, request)
+        _run_next_step(self.on_prefill)
         return PrefillResult(
             kv_id=f"kv-{request.request_id}",
             prompt_tokens=4,
@@ -76,13 +76,13 @@
         )
 
     def import_kv(self, upstream, request, *, timeout_s):
-        """Do the next scripted thing, or succeed."""
-        self._note("import", upstream, request)
-        _play(self.on_import)
+        """Run the next scripted step, or succeed."""
+        self._record("import", upstream, request)
+        _run_next_step(self.on_import)
 
     def decode(self, upstream, request, *, silence_s):
-        """Yield the next scripted output, or a whole one."""
-        self._note("decode", upstream, request)
+        """Yield the next scripted output, or a complete one."""
+        self._record("decode", upstream, request)
         if self.decodes:
             script = self.decodes.pop(0)
         else:
@@ -91,23 +91,23 @@
             if isinstance(step, OutputChunk):
                 yield step
             else:
-                _play([step])
+                _run_next_step([step])
 
     def cancel(self, upstream, request_id):
-        """Write it down."""
+        """Record the cancellation."""
         self.cancelled.append((upstream.upstream_id, request_id))
 
     def held(self, upstream):
-        """Hold nothing."""
+        """Return that nothing is held."""
         return ()
 
     def order(self, upstream, order, fence):
-        """Refuse."""
-        raise UpstreamRefusedError("no orders here", ran=Ran.NO)
+        """Raise ``UpstreamRefusedError``, as orders are not implemented."""
+        raise UpstreamRefusedError("the fake accepts no orders", ran=Ran.NO)
 
-    def _note(self, name, upstream, request):
+    def _record(self, name, upstream, request):
         self.sent.append(
-            Sent(
+            RecordedCall(
                 name=name,
                 upstream_id=upstream.upstream_id,
                 request_id=request.request_id,
@@ -117,32 +117,32 @@
 
 
 class FakeServices:
-    """Implements ``ports.ServicePort``; scripted answers, then 201."""
+    """Fake ``ports.ServicePort`` that returns 201 after its script."""
 
     def __init__(self):
-        """Run nothing yet."""
+        """Create a fake without received calls or script."""
         self.sent = []
         self.script = []
 
     def call(self, upstream, call, *, timeout_s):
-        """Do the next scripted thing, or answer with a count."""
+        """Run the next scripted step; return the number of calls so far."""
         self.sent.append(
-            Sent(name=call.method, upstream_id=upstream.upstream_id)
+            RecordedCall(name=call.method, upstream_id=upstream.upstream_id)
         )
         number = len(self.sent)
-        _play(self.script)
+        _run_next_step(self.script)
         return ServiceAnswer(status=201, body=f"run {number}".encode())
 
 
 def output(start, end):
-    """Return the chunks of an output from one offset, and its end."""
+    """Return the chunks from ``start`` to ``end``, and the last chunk."""
     chunks = [
         OutputChunk(offset=at, text=f"t{at} ") for at in range(start, end)
     ]
     return [*chunks, OutputChunk(offset=end, finish_reason="stop")]
 
 
-def _play(script):
+def _run_next_step(script):
     """Raise the next error, or call the next function, of a script."""
     if not script:
         return
--- a/currantdeal/testing/http_server.py
+++ b/currantdeal/testing/http_server.py
@@ -1,4 +1,4 @@
-"""Small HTTP server that the stand-ins share."""
+"""Provide the HTTP server that the stand-ins share."""
 
 import select
 import socket
@@ -9,7 +9,7 @@
 
 from currantdeal.testing.errors import RefusedError
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class StandInServer(ThreadingHTTPServer):
@@ -18,11 +18,11 @@
     Parameters
     ----------
     address : str
-        ``IP:PORT`` to listen on; port 0 picks a free one.
+        ``IP:PORT`` to listen on; port 0 selects a free port.
     handler : type
         Subclass of ``StandInHandler``.
     app : object
-        Given to every handler as ``self.app``.
+        State of the stand-in; available to handlers as ``self.app``.
     """
 
     daemon_threads = True
@@ -41,41 +41,41 @@
         return f"{host}:{port}"
 
     def handle_error(self, request, client_address):
-        """Say nothing: that callers go away is part of the tests."""
+        """Print nothing, because tests disconnect callers on purpose."""
 
 
 class StandInHandler(BaseHTTPRequestHandler):
-    """Reads JSON, answers JSON, and turns refusals into answers."""
+    """Handler with helpers for JSON requests, responses and refusals."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
 
     @property
     def app(self):
-        """What the stand-in is."""
+        """State of the stand-in."""
         return self.server.app
 
     def log_message(self, *args):
-        """Log nothing."""
+        """Suppress the access log."""
 
     def read_body(self):
-        """Return the body's bytes."""
+        """Return the request body as bytes."""
         length = int(self.headers.get("Content-Length") or 0)
         return self.rfile.read(length)
 
     def read_json(self, cls):
-        """Return the body as a value of a class."""
+        """Return the JSON request body as a value of a class."""
         try:
             return msgspec.json.decode(self.read_body(), type=cls)
         except msgspec.MsgspecError as exc:
             raise RefusedError(400, "bad-request", str(exc)) from exc
 
     def send_json(self, value, status=200):
-        """Answer a value as JSON."""
+        """Send a response with a JSON body."""
         self.send_bytes(msgspec.json.encode(value), status=status)
 
     def send_bytes(self, body, *, status=200, content_type="application/json"):
-        """Answer bytes with their length."""
+        """Send a response with a body and its length."""
         self.send_response(status)
         self.send_header("Content-Type", content_type)
         self.send_header("Content-Length", str(len(body)))
@@ -84,27 +84,27 @@
             self.wfile.write(body)
 
     def send_refusal(self, error):
-        """Answer a refusal."""
+        """Send a ``RefusedError`` as a JSON response."""
         body = {"error": error.name, "message": str(error)}
         self.send_json(body, status=error.status)
 
-    def hold_while(self, condition):
-        """Send nothing for as long as a condition holds and the peer stays.
+    def block_while(self, condition):
+        """Send nothing while a condition holds and the peer is connected.
 
         Returns
         -------
         bool
-            True when the peer is still there.
+            False if the peer closed the connection meanwhile.
         """
         while condition():
-            if self.peer_left():
+            if self.peer_closed():
                 self.close_connection = True
                 return False
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         return True
 
-    def peer_left(self):
-        """Return whether the other side closed the connection."""
+    def peer_closed(self):
+        """Return whether the peer closed the connection."""
         readable, _, _ = select.select([self.connection], [], [], 0)
         if not readable:
             return False
--- a/currantdeal/testing/local_ports.py
+++ b/currantdeal/testing/local_ports.py
@@ -1,6 +1,7 @@
-"""Ports of a single instance, without replication, membership or a disk.
+"""Implement the ports of a single instance for tests.
 
-They stand in where a test is about something else.
+There is no replication, membership or disk. Tests use these ports when they
+cover something else.
 """
 
 import threading
@@ -11,14 +12,14 @@
 from currantdeal.state import ClusterState, apply_command
 
 FENCE = FencingNumber(1)
-USUAL_PREFILL_TOKENS_PER_S = 8_000.0
+DEFAULT_PREFILL_TOKENS_PER_S = 8_000.0
 
 
 class LocalState:
-    """Implements ``ports.StatePort`` with a log of its own."""
+    """Implements ``ports.StatePort`` by applying commands locally."""
 
     def __init__(self, *, instance="i1", region="r1"):
-        """Start with an empty state and a lease that never ends."""
+        """Create an empty state and a lease of constant remaining time."""
         self._instance = instance
         self._region = region
         self._state = ClusterState()
@@ -30,7 +31,7 @@
         return self._state
 
     def lease_remaining_s(self):
-        """Return what a test has set."""
+        """Return ``lease_s``, which tests can set."""
         return self.lease_s
 
     def propose(self, command, *, timeout_s):
@@ -42,7 +43,7 @@
         return result
 
     def wait_in_force(self, version, *, timeout_s):
-        """Return 0: there is no other instance."""
+        """Return 0, as there is no other instance to wait for."""
         return 0.0
 
     def progress(self):
@@ -62,18 +63,18 @@
 
 
 class LocalHomes:
-    """Implements ``ports.HomesPort`` with all ledgers in one place.
+    """Implements ``ports.HomesPort`` with all ledgers in this process.
 
     Parameters
     ----------
     state : StatePort
-        Knows the upstreams' sizes.
+        Source of the upstreams' sizes.
     clock : Clock
-        Time of the ledgers.
+        Clock of the ledgers.
     """
 
     def __init__(self, *, state, clock, instance="i1"):
-        """Start with nothing reserved."""
+        """Create homes without reservations."""
         self._state = state
         self._clock = clock
         self._instance = instance
@@ -83,7 +84,7 @@
 
     @property
     def reserved(self):
-        """Request ids that hold a grant, by upstream."""
+        """Ids of the requests that hold a grant, by upstream."""
         with self._lock:
             return {
                 name: {grant.ask.request_id for grant in ledger.grants}
@@ -104,20 +105,22 @@
         )
         with self._lock:
             ledger = self._ledger(request.upstream_id)
-            found = ledger.reserve(ask, now_s=self._clock.monotonic_s())
-        if isinstance(found, LedgerRefusal):
-            raise ReservationError("full", retry_after_s=found.retry_after_s)
+            reservation = ledger.reserve(ask, now_s=self._clock.monotonic_s())
+        if isinstance(reservation, LedgerRefusal):
+            raise ReservationError(
+                "full", retry_after_s=reservation.retry_after_s
+            )
         return Grant(
             grant_id=GrantId(f"{request.upstream_id}/{request.request_id}"),
             request_id=request.request_id,
             upstream_id=request.upstream_id,
             home=self._instance,
             fence=FENCE,
-            start_in_s=found.start_in_s,
+            start_in_s=reservation.start_in_s,
         )
 
     def release(self, grant):
-        """Give a grant back."""
+        """Release a grant."""
         with self._lock:
             self._ledger(grant.upstream_id).release(grant.request_id)
 
@@ -129,11 +132,11 @@
             )
 
     def load(self, upstream_id):
-        """Return the last report."""
+        """Return the last load report, or None."""
         return self._loads.get(upstream_id)
 
     def report_load(self, report):
-        """Take a report in."""
+        """Store a load report."""
         self._loads[report.upstream_id] = report
 
     def _ledger(self, upstream_id):
@@ -142,7 +145,7 @@
             self._ledgers[upstream_id] = Ledger(
                 limits=LedgerLimits(
                     pieces_total=upstream.pieces_total,
-                    prefill_tokens_per_s=USUAL_PREFILL_TOKENS_PER_S,
+                    prefill_tokens_per_s=DEFAULT_PREFILL_TOKENS_PER_S,
                     link_bytes_per_s=upstream.link_bytes_per_s,
                 )
             )
@@ -164,15 +167,15 @@
         self.draining = False
 
     def members(self):
-        """Return the instance, unless it drains."""
+        """Return the instance, or nothing while it drains."""
         return () if self.draining else (self._me,)
 
     def set_ready(self):
-        """Do nothing: it is ready from the start."""
+        """Do nothing, as the instance is ready from the start."""
 
     def set_draining(self):
-        """Leave the list."""
+        """Remove the instance from the list of members."""
         self.draining = True
 
     def set_load(self, load):
-        """Take no interest."""
+        """Ignore the load, which nothing reads."""
--- a/currantdeal/testing/output.py
+++ b/currantdeal/testing/output.py
@@ -1,7 +1,7 @@
-"""What the stand-in engine writes: a function of prompt and position.
+"""Compute the stand-in engine's output from the prompt and the position.
 
-A test that knows the prompt can tell whether a caller got its own answer,
-whole and in order, without asking the engine.
+Because the output is deterministic, a test can check from the prompt alone
+whether a caller received its own output, complete and in order.
 
 Examples
 --------
@@ -17,29 +17,29 @@
 from xxhash import xxh32_hexdigest, xxh32_intdigest
 
 BYTES_PER_TOKEN = 4
-SHORTEST_OUTPUT = 16
-LENGTH_SPREAD = 112
+MIN_OUTPUT_TOKENS = 16
+OUTPUT_TOKENS_RANGE = 112
 
-_ASKED_LENGTH = re.compile(r"tokens=(\d+)")
+_REQUESTED_LENGTH = re.compile(r"tokens=(\d+)")
 
 
 def output_seed(prompt):
-    """Return the number that a prompt's output is computed from."""
+    """Return the seed from which the output of a prompt is computed."""
     return xxh32_intdigest(prompt.encode())
 
 
 def output_token(seed, offset):
-    """Return the output token at a position, as seven characters."""
+    """Return the output token at an offset, a text of 7 characters."""
     return f"{xxh32_hexdigest(str(offset).encode(), seed=seed)[:6]} "
 
 
 def expected_output(prompt, tokens):
-    """Return the first tokens of the output as one text.
+    """Return the first tokens of the output as one string.
 
     Parameters
     ----------
     prompt : str
-        The prompt as the engine got it.
+        The prompt as the engine receives it.
     tokens : int
         Number of tokens.
     """
@@ -48,13 +48,13 @@
 
 
 def natural_length(prompt):
-    """Return the tokens after which the model would stop by itself.
+    """Return the output length at which the model stops by itself.
 
-    A prompt that contains ``tokens=N`` asks for that length.
+    A prompt that contains ``tokens=N`` requests N tokens; the last one counts.
     """
-    if found := _ASKED_LENGTH.findall(prompt):
-        return int(found[-1])
-    return SHORTEST_OUTPUT + output_seed(prompt) % LENGTH_SPREAD
+    if requested := _REQUESTED_LENGTH.findall(prompt):
+        return int(requested[-1])
+    return MIN_OUTPUT_TOKENS + output_seed(prompt) % OUTPUT_TOKENS_RANGE
 
 
 def count_tokens(prompt):
--- a/currantdeal/testing/platform_upstream.py
+++ b/currantdeal/testing/platform_upstream.py
@@ -1,8 +1,7 @@
-"""Stand-in for an upstream that speaks the platform's dialect.
+"""Provide a stand-in upstream that implements the platform's protocol.
 
-It reads requests with a parser of its own, so that a mistake in the
-product's parser does not hide in both, and it can misbehave in every way
-that a test scripts.
+It parses requests independently of the product's parser, so that a parser bug
+cannot go unnoticed because both sides share it. A test can script any fault.
 """
 
 import asyncio
@@ -10,12 +9,12 @@
 from dataclasses import dataclass
 
 EVENTS = 6
-"""Events of a stream unless a test says otherwise."""
+"""Number of events in a stream, unless a script sends others."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class SeenRequest:
-    """A request as it reached the stand-in."""
+class ReceivedRequest:
+    """A request that the stand-in received."""
 
     method: str
     target: str
@@ -23,7 +22,7 @@
     body: bytes
 
     def get(self, name):
-        """Return a header's value, or an empty text."""
+        """Return the value of a header, or an empty string."""
         for key, value in self.headers:
             if key == name.lower():
                 return value
@@ -31,35 +30,35 @@
 
     @property
     def is_prefill(self):
-        """Whether the prompt is to be prefilled for another engine."""
+        """Whether the request prefills a prompt for another engine."""
         return self.get("X-Currantdeal-Stage") == "prefill"
 
     @property
     def is_generation(self):
-        """Whether it asks for a stream of events."""
+        """Whether the request is a generation, which streams events."""
         return bool(self.get("X-Currantdeal-Token-Counts"))
 
     @property
     def request_id(self):
-        """The caller's id of the attempt."""
+        """Request id that the sender set."""
         return self.get("X-Currantdeal-Request-Id")
 
 
 class StandInUpstream:
-    """One upstream on loopback.
+    """An upstream that listens on the loopback interface.
 
     Parameters
     ----------
     upstream : str
-        Its name.
+        Name of the upstream.
     script : callable or None
-        Coroutine function of this stand-in, a ``SeenRequest`` and a
-        ``StreamWriter``; returns True when it has answered, and False to
-        have the stand-in answer as usual.
+        Coroutine function that is called with this stand-in, a
+        ``ReceivedRequest`` and a ``StreamWriter``. It returns True if it sent
+        the response, and False to let the stand-in send its default response.
     """
 
     def __init__(self, *, upstream="u1", script=None):
-        """Listen nowhere before ``start``."""
+        """Create a stand-in that does not listen before ``start``."""
         self.upstream = upstream
         self.script = script
         self.seen = []
@@ -70,21 +69,21 @@
         self._server = None
 
     async def start(self, host="127.0.0.1", port=0):
-        """Listen, at a free port unless one is given."""
+        """Listen, on a free port unless one is given."""
         self._server = await asyncio.start_server(self._serve, host, port)
-        found = self._server.sockets[0].getsockname()
-        self.address = f"{found[0]}:{found[1]}"
+        bound = self._server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
         self.incarnation += 1
         self.is_up = True
 
     def stop(self):
-        """Listen no more."""
+        """Stop listening."""
         self.is_up = False
         self._server.close()
 
     @property
     def runs(self):
-        """Requests that it would have run: no reservations, no prefills."""
+        """Requests that execute work, without reservations and prefills."""
         return [
             request
             for request in self.seen
@@ -102,14 +101,14 @@
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         except asyncio.CancelledError:
-            # The test is over; the server would report it as an error.
+            # The test has ended; the server would log this as an error.
             pass
         finally:
             self.open_connections -= 1
             writer.close()
 
     async def answer(self, request, writer):
-        """Answer as a sound upstream does."""
+        """Send the response of a healthy upstream."""
         if request.target == "/v1/hold-take":
             send_json(writer, {"Hold": "hold-1"})
         elif request.target.startswith("/v1/"):
@@ -127,7 +126,7 @@
         await writer.drain()
 
     def send(self, request, writer, status, body, *more):
-        """Send a whole answer with the stand-in's signature."""
+        """Send a complete response with the stand-in's signature."""
         lines = [
             f"HTTP/1.1 {status} Answer",
             f"X-Currantdeal-Request-Id: {request.request_id}",
@@ -138,7 +137,7 @@
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     def begin_stream(self, request, writer):
-        """Send the head of a stream of events."""
+        """Send the response head of an event stream."""
         lines = [
             "HTTP/1.1 200 OK",
             "Content-Type: text/event-stream",
@@ -150,14 +149,14 @@
 
 
 def heartbeat(address, service, *, state="ready", sequence=1, born=0, **more):
-    """Return what an upstream says of itself.
+    """Return the heartbeat message of an upstream.
 
     Parameters
     ----------
     born : int
-        Start of its process, in seconds after a fixed time.
+        Start time of its process, in seconds after a fixed time.
     more : dict
-        Further fields, such as the stage of an engine.
+        Additional fields, such as the stage of an engine.
     """
     return {
         "Service": service,
@@ -174,7 +173,7 @@
 
 
 def pieces(answer):
-    """Return the numbers of the events that the bytes of a stream hold."""
+    """Return the numbers of the events in the bytes of a stream."""
     return [
         int(line.split()[-1])
         for line in answer.decode("latin-1").splitlines()
@@ -183,17 +182,17 @@
 
 
 def send_event(writer, number):
-    """Send one event as a chunk."""
+    """Send an event as one HTTP chunk."""
     send_chunk(writer, f"id: {number}\ndata: piece {number}\n\n".encode())
 
 
 def send_chunk(writer, data):
-    """Send bytes as a chunk."""
+    """Send bytes as one HTTP chunk."""
     writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
 
 def refuse(writer, status=503):
-    """Send a refusal that says that nothing ran."""
+    """Send a refusal marked as not executed."""
     writer.write(
         f"HTTP/1.1 {status} No\r\nX-Currantdeal-Not-Executed: 1\r\n"
         "Content-Length: 0\r\n\r\n".encode()
@@ -201,7 +200,7 @@
 
 
 def send_json(writer, content, status=200):
-    """Send a JSON answer."""
+    """Send a response with a JSON body."""
     body = json.dumps(content).encode()
     writer.write(
         f"HTTP/1.1 {status} OK\r\nContent-Type: application/json\r\n"
@@ -211,7 +210,7 @@
 
 
 async def read_request(reader):
-    """Return the next request, or None at the end of the connection."""
+    """Read the next request; return None at the end of the connection."""
     line = await reader.readline()
     if not line:
         return None
@@ -222,6 +221,6 @@
         headers.append((name.strip().lower(), value.strip()))
     length = int(dict(headers).get("content-length", 0))
     body = await reader.readexactly(length) if length else b""
-    return SeenRequest(
+    return ReceivedRequest(
         method=method, target=target, headers=tuple(headers), body=body
     )
--- a/currantdeal/testing/service.py
+++ b/currantdeal/testing/service.py
@@ -1,4 +1,7 @@
-"""Stand-in plain service as a process: a shop whose orders run for real.
+"""Run a stand-in plain service as a process.
+
+The service is a shop that records every call that it executes, so that a test
+can compare executions with responses.
 
 Run ``python -m currantdeal.testing.service --help`` for its options.
 """
@@ -16,10 +19,10 @@
 from currantdeal.testing.errors import RefusedError
 from currantdeal.testing.http_server import StandInHandler, StandInServer
 from currantdeal.testing.standin import (
+    common_options,
     new_incarnation,
-    place_options,
+    pop_common_options,
     run_until_signal,
-    split_place,
 )
 
 MENU = ("tarta de queso", "tarta de Santiago", "red velvet")
@@ -27,20 +30,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceFaults:
-    """Faults that a control call sets; a call replaces what it names.
+    """Faults that a control call sets; fields that it omits keep their value.
 
     Parameters
     ----------
     delay_s : float
-        Time between running a call and its answer, in seconds.
+        Delay between the execution of a call and its response, in seconds.
     drop_answers : int
-        So many calls run and then lose their connection.
+        Number of calls that are executed but whose connection is closed
+        without a response.
     refuse_calls : int
-        So many calls are refused before they run.
+        Number of calls that are refused before execution.
     lie_silent : bool
-        Nothing is answered or renewed, connections stay open.
+        Requests get no response and renewals stop; connections stay open.
     stop_renewing : bool
-        Calls are served, but the service renews no more.
+        Renewals stop while calls are still served.
     """
 
     delay_s: float = 0.0
@@ -52,7 +56,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceRun:
-    """One call that ran."""
+    """One executed call."""
 
     number: int
     wall_s: float
@@ -68,7 +72,7 @@
     Parameters
     ----------
     upstream_id : str
-        Its name, told in every answer.
+        Id of the service, included in every response.
     """
 
     def __init__(self, *, upstream_id):
@@ -80,19 +84,19 @@
 
     @property
     def runs(self):
-        """Every call that ran, oldest first."""
+        """All executed calls, oldest first."""
         with self._lock:
             return tuple(self._runs)
 
     def change_faults(self, changes):
-        """Replace the faults that are named, and return all."""
+        """Replace the named faults and return all fault settings."""
         with self._lock:
             merged = asdict(self.faults) | changes
             self.faults = msgspec.convert(merged, ServiceFaults)
             return self.faults
 
-    def take_fault(self, name):
-        """Return whether a counted fault strikes, and count it down."""
+    def consume_fault(self, name):
+        """Return whether a counted fault applies; decrement its count."""
         with self._lock:
             left = getattr(self.faults, name)
             if left <= 0:
@@ -102,7 +106,7 @@
             return True
 
     def run(self, *, method, path, key, body):
-        """Run a call and write it down."""
+        """Record a call, which is all that its execution does."""
         with self._lock:
             run = ServiceRun(
                 number=len(self._runs) + 1,
@@ -117,24 +121,24 @@
 
 
 class ServiceHandler(StandInHandler):
-    """One connection to the service."""
+    """Handler of one connection to the service."""
 
     def do_GET(self):  # noqa: N802
-        """Answer a read or a control call."""
+        """Handle a read call, or return the journal."""
         if self.path == "/control/journal":
             self.send_json({"runs": self.app.runs})
         else:
             self._call()
 
     def do_POST(self):  # noqa: N802
-        """Answer a call that may not be repeated, or a control call."""
+        """Handle a call that is not idempotent, or fault settings."""
         if self.path == "/control":
             self._control()
         else:
             self._call()
 
     def do_PUT(self):  # noqa: N802
-        """Answer any other call."""
+        """Handle a call with any other method."""
         self._call()
 
     do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = do_PUT  # noqa: N815
@@ -148,9 +152,9 @@
 
     def _call(self):
         body = self.read_body()
-        if not self.hold_while(lambda: self.app.faults.lie_silent):
+        if not self.block_while(lambda: self.app.faults.lie_silent):
             return
-        if self.app.take_fault("refuse_calls"):
+        if self.app.consume_fault("refuse_calls"):
             self.send_json({"error": "refused"}, status=503)
             return
         run = self.app.run(
@@ -160,56 +164,56 @@
             body=body.decode(errors="replace"),
         )
         time.sleep(self.app.faults.delay_s)
-        if self.app.take_fault("drop_answers"):
+        if self.app.consume_fault("drop_answers"):
             self.close_connection = True
             return
-        self._answer(run)
+        self._send_response(run)
 
-    def _answer(self, run):
-        answer = {"served_by": self.app.upstream_id, "number": run.number}
+    def _send_response(self, run):
+        response = {"served_by": self.app.upstream_id, "number": run.number}
         if self.command == "POST":
-            self.send_json(answer | {"order": run.body}, status=201)
+            self.send_json(response | {"order": run.body}, status=201)
         elif self.path.startswith("/menu"):
-            self.send_json(answer | {"menu": MENU})
+            self.send_json(response | {"menu": MENU})
         else:
-            self.send_json(answer | {"method": run.method, "path": run.path})
+            self.send_json(response | {"method": run.method, "path": run.path})
 
 
 @click.command()
-@place_options
+@common_options
 @click.option("--id", "upstream_id", required=True)
 @click.option("--service", "services", multiple=True, default=("shop",))
 def main(upstream_id, services, **options):
-    """Run a stand-in plain service until it is told to stop."""
-    place = split_place(options)
+    """Run a stand-in plain service until SIGTERM or SIGINT."""
+    common = pop_common_options(options)
     app = ServiceApp(upstream_id=upstream_id)
     server = StandInServer(
-        address=place.address, handler=ServiceHandler, app=app
+        address=common.address, handler=ServiceHandler, app=app
     )
     upstream = Upstream(
         upstream_id=upstream_id,
         incarnation=new_incarnation(),
-        address=place.advertise or server.bound_address,
+        address=common.advertise or server.bound_address,
         kind=UpstreamKind.SERVICE,
         roles=(Role.SERVICE,),
         targets=services,
-        region=place.region,
-        data_center=place.data_center,
-        labels=parse_labels(place.labels),
+        region=common.region,
+        data_center=common.data_center,
+        labels=parse_labels(common.labels),
     )
-    run_until_signal(server, _announcer(app, place, upstream))
+    run_until_signal(server, _announcer(app, common, upstream))
 
 
-def _announcer(app, place, upstream):
+def _announcer(app, common, upstream):
     report = LoadReport(
         upstream_id=upstream.upstream_id, incarnation=upstream.incarnation
     )
     return Announcer(
-        instances=place.instances,
-        key=place.key,
+        instances=common.instances,
+        key=common.key,
         upstream=lambda: upstream,
         load=lambda: report,
-        silent=lambda: app.faults.lie_silent or app.faults.stop_renewing,
+        paused=lambda: app.faults.lie_silent or app.faults.stop_renewing,
     )
 
 
--- a/currantdeal/testing/standin.py
+++ b/currantdeal/testing/standin.py
@@ -1,4 +1,8 @@
-"""Start and end of a stand-in process, common to engine and service."""
+"""Start and stop a stand-in process.
+
+The stand-in engine and the stand-in service share these command line options
+and this life cycle.
+"""
 
 import contextlib
 import signal
@@ -10,12 +14,28 @@
 import click
 import msgspec
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 @dataclass(frozen=True, kw_only=True)
-class Place:
-    """Where a stand-in stands and whom it tells."""
+class CommonOptions:
+    """Options that every stand-in process takes.
+
+    Parameters
+    ----------
+    address : str
+        ``IP:PORT`` to listen on.
+    advertise : str
+        Address to announce; empty for the bound address.
+    instances : tuple of str
+        ``IP:PORT`` of the instances to which it announces itself.
+    key : str
+        Key of kind ``upstream``; may be empty.
+    region, data_center : str
+        Announced location.
+    labels : tuple of str
+        Announced labels as ``NAME=VALUE``.
+    """
 
     address: str
     advertise: str
@@ -26,28 +46,28 @@
     labels: tuple[str, ...]
 
 
-def place_options(command):
-    """Add the options that fill a ``Place``."""
+def common_options(command):
+    """Add the command line options of ``CommonOptions``."""
     for option in reversed(_OPTIONS):
         command = option(command)
     return command
 
 
-def split_place(options):
-    """Take a ``Place`` out of click's options."""
-    names = Place.__dataclass_fields__
-    return Place(**{name: options.pop(name) for name in names})
+def pop_common_options(options):
+    """Remove the common options from click's options and return them."""
+    names = CommonOptions.__dataclass_fields__
+    return CommonOptions(**{name: options.pop(name) for name in names})
 
 
 def new_incarnation():
-    """Return a number that grows with each start."""
-    return int(time.time() * MILLISECONDS)
+    """Return a number that is higher at each start of the process."""
+    return int(time.time() * MS_PER_S)
 
 
 def run_until_signal(server, announcer):
-    """Serve until SIGTERM or SIGINT; withdraw before the end.
+    """Serve until SIGTERM or SIGINT, then withdraw and shut down.
 
-    The first line on standard output tells the bound address as JSON.
+    The first line on standard output holds the bound address as JSON.
     """
     stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/currantdeal/testing/standin_client.py
+++ b/currantdeal/testing/standin_client.py
@@ -1,4 +1,4 @@
-"""Client of stand-ins: control calls, journals and what they hold."""
+"""Call stand-ins directly: set faults, read journals and held memory."""
 
 import msgspec
 import urllib3
@@ -12,7 +12,7 @@
 
 
 class StandInClient:
-    """Talks to one stand-in directly, past every instance and proxy.
+    """Client of one stand-in that bypasses instances and proxies.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, *, address):
-        """Open no connection yet."""
+        """Create a client without open connections."""
         self._address = address
         self._pool = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
 
@@ -31,7 +31,7 @@
         return self._address
 
     def set_faults(self, **changes):
-        """Set faults by their names; the others stay."""
+        """Set faults by name and leave the others unchanged."""
         self.post("/control", changes)
 
     def events(self):
@@ -47,29 +47,29 @@
         return self._list("/engine/held", "held", HeldMemory)
 
     def post(self, path, body):
-        """Return the decoded answer to a JSON call.
+        """Send a JSON call and return its decoded response.
 
         Raises
         ------
         RefusedError
-            If the stand-in refuses.
+            If the status of the response is 400 or above.
         """
         raw = msgspec.json.encode(body)
-        return self._decoded(self._request("POST", path, raw))
+        return self._decode(self._request("POST", path, raw))
 
     def stream(self, path, body):
-        """Yield the events of a streamed answer as dictionaries."""
+        """Send a JSON call and yield the events of its response stream."""
         raw = msgspec.json.encode(body)
-        answer = self._request("POST", path, raw, preload_content=False)
-        if answer.status != 200:
-            self._decoded(answer)
-        with answer:
-            for line in answer:
+        response = self._request("POST", path, raw, preload_content=False)
+        if response.status != 200:
+            self._decode(response)
+        with response:
+            for line in response:
                 if line.startswith(b"data: "):
                     yield msgspec.json.decode(line[len(b"data: ") :])
 
     def _list(self, path, name, cls):
-        body = self._decoded(self._request("GET", path, None))
+        body = self._decode(self._request("GET", path, None))
         return msgspec.convert(body[name], tuple[cls, ...])
 
     def _request(self, method, path, body, **options):
@@ -79,10 +79,10 @@
         except urllib3.exceptions.HTTPError as exc:
             raise HarnessError(f"{url}: {exc}") from exc
 
-    def _decoded(self, answer):
-        body = msgspec.json.decode(answer.data)
-        if answer.status >= 400:
+    def _decode(self, response):
+        body = msgspec.json.decode(response.data)
+        if response.status >= 400:
             raise RefusedError(
-                answer.status, body.get("error"), body.get("message", "")
+                response.status, body.get("error"), body.get("message", "")
             )
         return body
--- a/currantdeal/testing/world.py
+++ b/currantdeal/testing/world.py
@@ -1,4 +1,4 @@
-"""A cluster with its callers and its operator, for scenarios and the soak."""
+"""Run a cluster with callers and an operator, for scenarios and soak tests."""
 
 import time
 
@@ -19,15 +19,15 @@
 from currantdeal.testing.waiting import wait_until
 
 LIMIT_S = 60.0
-FAST = ("--step-base-s", "0.004")
-WAIT_S = 20
+FAST_ENGINE_OPTIONS = ("--step-base-s", "0.004")
+IN_FORCE_WAIT_S = 20
 
 
 class World:
-    """A cluster, its callers and its operator."""
+    """A cluster with its callers and its operator."""
 
     def __init__(self, *, folder):
-        """Start nothing yet."""
+        """Create a world without running processes; see ``start``."""
         self._folder = folder
         self._requests = 0
         self.cluster = None
@@ -36,7 +36,7 @@
         self.notes = {}
 
     def start(self, count, *, replicas=3, engines=2, told=(), **shape):
-        """Start instances, engines and a shop, and let all work be done."""
+        """Start instances, engines and a shop that all requests may use."""
         instances = spread(count, replicas=replicas)
         self.cluster = Cluster(
             folder=self._folder,
@@ -49,7 +49,7 @@
                 self.cluster.add_engine(
                     f"{role}-{number}",
                     roles=(role,),
-                    options=FAST,
+                    options=FAST_ENGINE_OPTIONS,
                     told=told,
                 )
         self.cluster.add_service("shop-1", told=told)
@@ -58,19 +58,21 @@
         assert answer.status == 200, answer.body
 
     def close(self):
-        """End everything."""
+        """Stop the callers and all processes."""
         if self.load is not None:
             self.load.stop()
         if self.cluster is not None:
             self.cluster.close()
 
     def names(self):
-        """Return the names of the instances that have not failed."""
-        return [n for n in self.cluster.instances if n not in self.failed]
+        """Return the names of the instances that are not in ``failed``."""
+        return [
+            name for name in self.cluster.instances if name not in self.failed
+        ]
 
     def any_instance(self, *but):
-        """Return a living instance other than some."""
-        name = next(n for n in self.names() if n not in but)
+        """Return a running instance that is not in ``but``."""
+        name = next(each for each in self.names() if each not in but)
         return self.cluster.instance(name)
 
     def call(self, method, path, body=None, *, at=None):
@@ -86,17 +88,20 @@
         return f"scenario-{self._requests}"
 
     def apply(self, name, selector, *, version=0, at=None, request_id=None):
-        """Apply a selector and wait until it is in force."""
+        """Apply a selector and wait until it is in force.
+
+        The wait ends after ``IN_FORCE_WAIT_S`` at the latest.
+        """
         body = {
             "selector": selector,
             "expected_version": version,
             "request_id": request_id or self.request_id(),
-            "wait_s": WAIT_S,
+            "wait_s": IN_FORCE_WAIT_S,
         }
         return self.call("PUT", f"/operator/selectors/{name}", body, at=at)
 
     def label(self, upstream, value, *, version, name="withdrawn", at=None):
-        """Set a label of an upstream."""
+        """Set one label of an upstream."""
         body = {
             "upstream_id": upstream,
             "labels": [{"name": name, "value": value}],
@@ -108,17 +113,17 @@
         return self.call("POST", path, body, at=at)
 
     def set_withdrawn(self, upstream, withdrawn, *, at):
-        """Withdraw an upstream or restore it; return when it was accepted.
+        """Withdraw or restore an upstream; return the time of acceptance.
 
         Returns
         -------
         float or None
             Wall-clock time in seconds since the epoch; None if refused.
         """
-        found = at.operator("/operator/upstreams")["upstreams"]
+        records = at.operator("/operator/upstreams")["upstreams"]
         versions = {
-            one["upstream"]["upstream_id"]: one["labels_version"]
-            for one in found
+            record["upstream"]["upstream_id"]: record["labels_version"]
+            for record in records
         }
         label = [{"name": "withdrawn", "value": "yes"}]
         body = {
@@ -134,14 +139,14 @@
         return time.time() if answer.status == 200 else None
 
     def status(self, name):
-        """Return what an instance says, or None if it does not answer."""
+        """Return the status of an instance, or None if it does not respond."""
         try:
             return self.cluster.instance(name).status()
         except (HarnessError, urllib3.exceptions.HTTPError):
             return None
 
     def leader(self):
-        """Wait for a leader that a living instance names."""
+        """Return the leader, once a running instance reports one."""
         return wait_until(self._leader, what="leader", limit_s=LIMIT_S)
 
     def fail(self, name):
@@ -150,7 +155,7 @@
         self.cluster.instance(name).kill()
 
     def send_load(self, **options):
-        """Let callers send from now on."""
+        """Start the callers and wait for the first served requests."""
         addresses = self.cluster.caller_addresses
         options = {"addresses": addresses} | options
         self.load = CallerLoad(**options)
@@ -158,32 +163,32 @@
         self.await_served(5)
 
     def await_served(self, more):
-        """Wait until callers have received some more whole answers."""
+        """Wait until callers received that many more complete responses."""
         before = self.load.count()
         wait_until(
             lambda: self.load.count() >= before + more,
-            what=f"{more} more answers",
+            what=f"{more} more responses",
             limit_s=LIMIT_S,
         )
 
     def failed_addresses(self):
-        """Return the caller addresses of instances that failed."""
+        """Return the caller addresses of the failed instances."""
         return {self.cluster.instance(name).advertised for name in self.failed}
 
     def runs(self):
-        """Return the shop's journal."""
+        """Return the calls that the shop executed."""
         return self.cluster.stand_in("shop-1").client.runs()
 
     def engines(self):
-        """Return the clients of the engines."""
+        """Return the stand-in clients of all engines."""
         return [
-            each.client
-            for name, each in self.cluster.stand_ins.items()
+            stand_in.client
+            for name, stand_in in self.cluster.stand_ins.items()
             if name != "shop-1"
         ]
 
     def judge(self):
-        """Stop the callers and return what was promised and not kept."""
+        """Stop the callers and return the violated guarantees."""
         self.load.stop()
         sent, runs = self.load.sent, self.runs()
         return (
@@ -194,7 +199,7 @@
         )
 
     def await_nothing_held(self):
-        """Wait until no engine holds memory."""
+        """Wait until no engine holds memory for a request."""
         wait_until(
             lambda: not any(engine.held() for engine in self.engines()),
             what="free engine memory",
@@ -202,7 +207,7 @@
         )
 
     def count(self, received):
-        """Return how many requests ended in a way."""
+        """Return the number of requests with an outcome."""
         return self.load.count(received=Received(received))
 
     def _leader(self):
