--- a/currantdeal/testing/build_check.py
+++ b/currantdeal/testing/build_check.py
@@ -1,7 +1,7 @@
-"""Proves that ``dist/currantdeal`` runs from an empty folder.
+"""Checks that ``dist/currantdeal`` runs from an empty folder.
 
-``bin/check-build`` runs it: the program tells its version, serves, has no
-child process, and ends with 0 when it is asked to.
+``bin/check-build`` runs it: the program must print its version, become
+ready, start no child process, and exit with status 0 on SIGTERM.
 """
 
 import os
@@ -25,14 +25,15 @@
 
 
 def check_build(program, folder):
-    """Run the program in an empty folder and return what was seen.
+    """Run the program in an empty folder and return its version.
 
     Raises
     ------
     HarnessError
-        If the program does not do what it must.
+        If the program does not become ready, starts a child process or
+        ends with another status than 0.
     """
-    env = _plain_environment()
+    env = _environment_without_python()
     version = subprocess.run(
         [program, "--version"],
         cwd=folder,
@@ -55,7 +56,9 @@
         wait_until(lambda: _ready(settings, process), what="readiness")
         children = psutil.Process(process.pid).children(recursive=True)
         if children:
-            raise HarnessError(f"the program started {children}")
+            raise HarnessError(
+                f"the program started child processes: {children}"
+            )
         process.send_signal(signal.SIGTERM)
         code = process.wait(STOP_S)
     finally:
@@ -63,7 +66,7 @@
         process.wait()
         ports.close()
     if code != 0:
-        raise HarnessError(f"the program ended with {code}")
+        raise HarnessError(f"the program ended with status {code}")
     return version
 
 
@@ -82,7 +85,9 @@
 
 def _ready(settings, process):
     if process.poll() is not None:
-        raise HarnessError(f"the program ended with {process.returncode}")
+        raise HarnessError(
+            f"the program ended with status {process.returncode}"
+        )
     url = f"http://{settings.caller_address}/readyz"
     try:
         return urllib3.request("GET", url, retries=False).status == 200
@@ -90,7 +95,7 @@
         return False
 
 
-def _plain_environment():
+def _environment_without_python():
     return {
         name: value
         for name, value in os.environ.items()
--- a/currantdeal/testing/caller.py
+++ b/currantdeal/testing/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the system, as tests and the quickstart play it."""
+"""Sends requests as a caller of the system, for tests and the quickstart."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Entry:
-    """An address that callers are told to use."""
+    """An address that callers should use."""
 
     address: str
     region: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Entries:
-    """Answer of ``/v1/entries``."""
+    """Answer of ``/v1/entries``; valid for ``keep_s`` seconds."""
 
     entries: tuple[Entry, ...]
     keep_s: float
@@ -30,24 +30,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answer:
-    """What a caller received.
+    """An answer that is not streamed.
 
     Parameters
     ----------
     body : bytes
-        Whole body, of answers that are not streamed.
+        Complete body.
     """
 
     status: int
     body: bytes
 
     def json(self):
-        """Return the body as a value."""
+        """Return the decoded body."""
         return msgspec.json.decode(self.body)
 
     @property
     def outcome(self):
-        """Outcome that a refusal states; empty for other answers."""
+        """Outcome that a refusal reports; empty for other answers."""
         try:
             return self.json().get("outcome", "")
         except (msgspec.DecodeError, AttributeError):
@@ -55,8 +55,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Streamed:
-    """What a caller received of a streamed completion."""
+class StreamedCompletion:
+    """A streamed completion as its caller received it."""
 
     text: str
     finish_reason: str
@@ -64,16 +64,16 @@
 
 
 class CallerClient:
-    """Sends a caller's requests to one address.
+    """Sends the requests of a caller to one address.
 
     Parameters
     ----------
     address : str
         ``IP:PORT`` of an instance.
     key : str
-        The caller's key.
+        The caller's key; empty to send none.
     model : str
-        Model that completions ask for.
+        Model of the completions.
     """
 
     def __init__(self, *, address, key=CALLER_KEY, model=MODEL):
@@ -89,16 +89,16 @@
 
     @property
     def address(self):
-        """Address that requests go to."""
+        """Address that requests are sent to."""
         return self._address
 
     def entries(self):
-        """Ask which addresses to use."""
+        """Return the entries that callers should use."""
         answer = self.call("GET", "/v1/entries")
         return msgspec.json.decode(answer.body, type=Entries)
 
     def call(self, method, path, *, body=b"", headers=None):
-        """Send one request and return the whole answer."""
+        """Send a request and return the complete answer."""
         try:
             answer = self._request(method, path, body, headers)
         except urllib3.exceptions.HTTPError as exc:
@@ -106,7 +106,7 @@
         return Answer(status=answer.status, body=answer.data)
 
     def order(self, key, body, *, service="shop", path="/orders"):
-        """Place an order under an idempotency key."""
+        """Send an order with an idempotency key."""
         return self.call(
             "POST",
             f"/services/{service}{path}",
@@ -115,17 +115,17 @@
         )
 
     def complete(self, prompt, *, max_tokens=200, headers=None):
-        """Return a completion as one answer."""
-        body = _completion(self._model, prompt, max_tokens, stream=False)
+        """Return a completion that is not streamed."""
+        body = _completion_body(self._model, prompt, max_tokens, stream=False)
         return self.call("POST", "/v1/completions", body=body, headers=headers)
 
     def open_stream(self, prompt, *, max_tokens=200, headers=None):
-        """Return a ``CallerStream`` of a completion."""
-        body = _completion(self._model, prompt, max_tokens, stream=True)
-        return self.open_stream_of("/v1/completions", body, headers=headers)
+        """Return the ``CallerStream`` of a completion."""
+        body = _completion_body(self._model, prompt, max_tokens, stream=True)
+        return self.post_stream("/v1/completions", body, headers=headers)
 
-    def open_stream_of(self, path, body, *, headers=None):
-        """Return a ``CallerStream`` of any streamed answer."""
+    def post_stream(self, path, body, *, headers=None):
+        """Send a body and return the ``CallerStream`` of the answer."""
         answer = self._request(
             "POST", path, body, headers, preload_content=False
         )
@@ -134,7 +134,7 @@
         return CallerStream(answer=answer)
 
     def stream(self, prompt, **options):
-        """Return all that a streamed completion brings."""
+        """Return a streamed completion once it has ended."""
         return self.open_stream(prompt, **options).read()
 
     def _request(self, method, path, body, headers, **options):
@@ -153,14 +153,14 @@
     Parameters
     ----------
     answer : urllib3.HTTPResponse
-        The open answer.
+        Answer whose body has not been read.
     """
 
     def __init__(self, *, answer):
-        """Receive nothing yet."""
+        """Read nothing yet."""
         self._answer = answer
         self._texts = []
-        self._reason = ""
+        self._finish_reason = ""
         self._done = False
         self._events = self._read_events()
 
@@ -170,29 +170,29 @@
         return tuple(self._texts)
 
     def read_some(self, pieces):
-        """Receive until some pieces of text are there."""
-        while len(self._texts) < pieces and self._step():
+        """Read until a number of pieces of text have been received."""
+        while len(self._texts) < pieces and self._read_event():
             pass
         return self.texts
 
     def read(self):
-        """Receive everything and return it."""
+        """Read to the end and return the completion."""
         try:
-            while self._step():
+            while self._read_event():
                 pass
         except urllib3.exceptions.HTTPError as exc:
-            raise HarnessError(f"the stream broke: {exc}") from exc
-        return Streamed(
+            raise HarnessError(f"the stream was interrupted: {exc}") from exc
+        return StreamedCompletion(
             text="".join(self._texts),
-            finish_reason=self._reason,
+            finish_reason=self._finish_reason,
             done=self._done,
         )
 
     def hang_up(self):
-        """Close the connection in the middle, as a caller who leaves."""
+        """Close the connection in the middle of the answer."""
         self._answer.close()
 
-    def _step(self):
+    def _read_event(self):
         event = next(self._events, None)
         if event is None:
             return False
@@ -200,7 +200,9 @@
             text = choice.get("text") or choice.get("delta", {}).get("content")
             if text:
                 self._texts.append(text)
-            self._reason = choice.get("finish_reason") or self._reason
+            self._finish_reason = (
+                choice.get("finish_reason") or self._finish_reason
+            )
         return True
 
     def _read_events(self):
@@ -214,7 +216,7 @@
             yield msgspec.json.decode(data)
 
 
-def _completion(model, prompt, max_tokens, *, stream):
+def _completion_body(model, prompt, max_tokens, *, stream):
     return msgspec.json.encode(
         {
             "model": model,
--- a/currantdeal/testing/cluster.py
+++ b/currantdeal/testing/cluster.py
@@ -1,11 +1,12 @@
-"""Harness: instances, stand-ins and proxies as real processes.
+"""Starts instances, stand-ins and fault proxies for tests and soak runs.
 
-Everything that a cluster started is ended by its process id when the
-cluster is closed, also after a failure.
+Instances and stand-ins are real processes; the proxies run in the test's own
+process.  Closing a cluster ends every process that it started, by process
+id, also after a failed test.
 
 Examples
 --------
-The harness in a test::
+A cluster in a test::
 
     with Cluster(folder=tmp_path, shape=ClusterShape(
             instances=spread(3), proxied=True)) as cluster:
@@ -37,9 +38,10 @@
     Parameters
     ----------
     client : StandInClient
-        Reaches it past the proxy.
+        Connects to the stand-in directly, not through the proxy.
     proxy : FaultProxy or None
-        Stands between it and everybody else, engines included.
+        Carries all other connections to the stand-in, also those of other
+        engines.
     """
 
     name: str
@@ -49,18 +51,18 @@
 
 
 class Cluster:
-    """Some instances with the stand-ins and proxies around them.
+    """Instances with their stand-ins and proxies.
 
     Parameters
     ----------
     folder : Path
         Empty folder for settings, logs and data.
     shape : ClusterShape
-        What to start.
+        Instances to start, with their timing and proxies.
     """
 
     def __init__(self, *, folder, shape):
-        """Reserve addresses and start proxies, but no process."""
+        """Reserve addresses and start the proxies, but no process."""
         self._folder = folder
         self._shape = shape
         self._ports = PortReservations()
@@ -68,13 +70,17 @@
         self._caller_proxies = {}
         self._stand_ins = {}
         self._addresses = {
-            one.name: (self._ports.take_address(), self._ports.take_address())
-            for one in shape.instances
+            instance.name: (
+                self._ports.take_address(),
+                self._ports.take_address(),
+            )
+            for instance in shape.instances
         }
         if shape.proxied:
             self._start_proxies()
         self._instances = {
-            one.name: self._make_instance(one) for one in shape.instances
+            instance.name: self._make_instance(instance)
+            for instance in shape.instances
         }
 
     def __enter__(self):
@@ -82,23 +88,25 @@
         return self
 
     def __exit__(self, *error):
-        """End everything."""
+        """End every process and proxy."""
         self.close()
 
     @property
     def instances(self):
-        """Mapping of names to instances."""
+        """Instances by name."""
         return dict(self._instances)
 
     @property
     def stand_ins(self):
-        """Mapping of names to stand-ins."""
+        """Stand-ins by name."""
         return dict(self._stand_ins)
 
     @property
     def caller_addresses(self):
         """Addresses that callers and upstreams use."""
-        return tuple(one.advertised for one in self._instances.values())
+        return tuple(
+            instance.advertised for instance in self._instances.values()
+        )
 
     def instance(self, name):
         """Return an instance by its name."""
@@ -119,8 +127,10 @@
             self._instances[name].wait_ready(**limits)
 
     def wait_upstreams(self, **limits):
-        """Return once each instance knows every stand-in."""
-        wait_until(self._all_known, what="known upstreams", **limits)
+        """Return once each instance lists every stand-in as present."""
+        wait_until(
+            self._all_upstreams_listed, what="listed upstreams", **limits
+        )
 
     def add_engine(self, name, *, roles, place=None, options=(), told=()):
         """Start a stand-in engine and return it.
@@ -128,20 +138,26 @@
         Parameters
         ----------
         roles : tuple of str
-            Roles it serves.
+            Roles that the engine announces.
         place : InstanceShape, optional
-            In whose region and data center it stands; the first one's.
+            Instance whose region and data centre the engine shares; the
+            first one by default.
         options : tuple of str
-            More command line options.
+            Additional command line options.
         told : tuple of str
-            Names of the instances it announces to; all by default.
+            Names of the instances that the engine announces itself to; all
+            by default.
         """
         flags = [part for role in roles for part in ("--role", role)]
-        return self._add("engine", name, place, [*flags, *options], told)
+        return self._start_stand_in(
+            "engine", name, place, [*flags, *options], told
+        )
 
     def add_service(self, name, *, place=None, options=(), told=()):
         """Start a stand-in plain service and return it."""
-        return self._add("service", name, place, list(options), told)
+        return self._start_stand_in(
+            "service", name, place, list(options), told
+        )
 
     def restart_stand_in(self, name):
         """Kill a stand-in and start it again under the same address."""
@@ -156,47 +172,56 @@
         return self._stand_ins[name]
 
     def peer_proxy(self, source, target):
-        """Return the proxy on the way of one instance to another."""
+        """Return the proxy between two instances, for one direction."""
         return self._peer_proxies[source, target]
 
     def caller_proxy(self, name):
-        """Return the proxy before an instance's caller address."""
+        """Return the proxy in front of an instance's caller address."""
         return self._caller_proxies[name]
 
     def cut(self, source, target, cut=Cut.BOTH):
-        """Hold what goes over the connections of one to another instance."""
+        """Partition the path from one instance to another without closing it.
+
+        Connections that the source opened stay open; their bytes are held
+        back in the given directions, and datagrams are lost.
+        """
         proxy = self._peer_proxies[source, target]
         proxy.set_faults(replace(proxy.faults, cut=cut))
 
     def isolate(self, name, *, callers=False):
-        """Cut an instance silently off the others, and off its callers."""
-        self._set_cut((name,), Cut.BOTH)
+        """Partition an instance from the others, and optionally its callers.
+
+        Connections stay open, so that only timeouts detect the partition.
+        """
+        self._partition((name,), Cut.BOTH)
         if callers:
             proxy = self._caller_proxies[name]
             proxy.set_faults(LinkFaults(cut=Cut.BOTH))
 
     def isolate_region(self, region):
-        """Cut all instances of a region silently off the others."""
-        self._set_cut(self._names_in(region), Cut.BOTH)
+        """Partition a region from the others without closing connections."""
+        self._partition(self._instances_in(region), Cut.BOTH)
 
     def silence_open(self):
-        """Hold every open connection silently for good; new ones work.
+        """Stall every open connection permanently; new ones work.
 
-        Connections of callers to instances are left alone.
+        Connections of callers to instances are not affected.
         """
-        between = self._peer_proxies.values()
-        before = [one.proxy for one in self._stand_ins.values()]
-        for proxy in (*between, *before):
+        peer_proxies = self._peer_proxies.values()
+        upstream_proxies = [
+            stand_in.proxy for stand_in in self._stand_ins.values()
+        ]
+        for proxy in (*peer_proxies, *upstream_proxies):
             proxy.silence_open()
 
     def heal(self):
-        """Lift every cut between instances and before callers."""
-        self._set_cut(tuple(self._instances), Cut.NONE)
+        """Heal every partition between instances and towards callers."""
+        self._partition(tuple(self._instances), Cut.NONE)
         for proxy in self._caller_proxies.values():
             proxy.set_faults(replace(proxy.faults, cut=Cut.NONE))
 
     def close(self):
-        """End every process and proxy, and give the ports back."""
+        """End every process and proxy, and release the ports."""
         for instance in self._instances.values():
             instance.kill()
         for stand_in in self._stand_ins.values():
@@ -237,11 +262,11 @@
             seeds=self._seeds(shape),
             replicas=self._replicas(),
             routes=self._routes(shape),
-            data_folder=str(folder / "data") if shape.disk else "",
+            data_folder=str(folder / "data") if shape.has_data_folder else "",
             keys=harness_keys(),
             timing=self._shape.timing,
         )
-        merged = msgspec.to_builtins(settings) | self._shape.extra
+        merged = msgspec.to_builtins(settings) | self._shape.extra_settings
         return Instance(
             settings=msgspec.convert(merged, Settings),
             folder=folder,
@@ -251,10 +276,11 @@
     def _replicas(self):
         return tuple(
             PeerSettings(
-                instance=one.name, peer_address=self._addresses[one.name][1]
+                instance=instance.name,
+                peer_address=self._addresses[instance.name][1],
             )
-            for one in self._shape.instances
-            if one.disk
+            for instance in self._shape.instances
+            if instance.has_data_folder
         )
 
     def _routes(self, shape):
@@ -269,12 +295,12 @@
             route.instance: route.peer_address for route in self._routes(shape)
         }
         return tuple(
-            routes.get(one.name, self._addresses[one.name][1])
-            for one in self._shape.instances
-            if one.disk and one.name != shape.name
+            routes.get(instance.name, self._addresses[instance.name][1])
+            for instance in self._shape.instances
+            if instance.has_data_folder and instance.name != shape.name
         )
 
-    def _add(self, kind, name, place, options, told):
+    def _start_stand_in(self, kind, name, place, options, announce_to):
         place = place or self._shape.instances[0]
         address = self._ports.take_address()
         proxy = FaultProxy(target=address) if self._shape.proxied else None
@@ -287,7 +313,7 @@
                 *("--region", place.region),
                 *("--data-center", place.data_center),
                 *("--key", UPSTREAM_KEY),
-                *self._instance_options(told),
+                *self._instance_options(announce_to),
                 *options,
             ],
             log_path=self._folder / f"{name}.log",
@@ -302,30 +328,33 @@
         process.read_address()
         return stand_in
 
-    def _instance_options(self, told):
-        names = told or self._instances
+    def _instance_options(self, announce_to):
+        names = announce_to or self._instances
         for name in names:
             yield from ("--instance", self._instances[name].advertised)
 
-    def _names_in(self, region):
+    def _instances_in(self, region):
         return tuple(
-            one.name for one in self._shape.instances if one.region == region
+            instance.name
+            for instance in self._shape.instances
+            if instance.region == region
         )
 
-    def _set_cut(self, names, cut):
-        # Only paths that leave the group: its members still reach each other.
+    def _partition(self, names, cut):
+        # Only paths with one end in the group: its members still reach each
+        # other.  Healing applies to every path.
         for (source, target), proxy in self._peer_proxies.items():
-            inside = (source in names) + (target in names)
-            if inside == 1 or cut is Cut.NONE:
+            ends_inside = (source in names) + (target in names)
+            if ends_inside == 1 or cut is Cut.NONE:
                 proxy.set_faults(replace(proxy.faults, cut=cut))
 
-    def _all_known(self):
+    def _all_upstreams_listed(self):
         return all(
-            set(self._stand_ins) <= self._known(instance)
+            set(self._stand_ins) <= self._listed_upstreams(instance)
             for instance in self._instances.values()
         )
 
-    def _known(self, instance):
+    def _listed_upstreams(self, instance):
         try:
             body = instance.operator("/operator/upstreams")
         except HarnessError:
--- a/currantdeal/testing/example_run.py
+++ b/currantdeal/testing/example_run.py
@@ -1,8 +1,8 @@
 """Runs an example deployment on one machine, with stand-ins as upstreams.
 
-``bin/run-example NAME`` starts the eight instances from their files, the
-upstreams as they announce themselves, applies the selectors, and sends one
-completion and one order through each instance.
+``bin/run-example NAME`` starts the eight instances with their settings and
+the upstreams, which announce themselves, then applies the selectors and
+sends a completion and an order through each instance.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 from currantdeal.testing.output import expected_output
 from currantdeal.testing.processes import ROOT, ChildProcess
 from currantdeal.testing.progress import StepFailedError, Steps, check
-from currantdeal.testing.shapes import SERVE
+from currantdeal.testing.shapes import SERVE_COMMAND
 from currantdeal.testing.waiting import wait_until
 
 PROMPT = "a summary tokens=20"
@@ -34,43 +34,49 @@
 
 
 class ExampleRun:
-    """One user's deployment as processes on this machine.
+    """Runs the deployment of one user as processes on this machine.
 
     Parameters
     ----------
     user : User
-        Whose deployment.
+        User whose deployment is run.
     folder : Path
         Empty folder for data and logs.
     """
 
     def __init__(self, *, user, folder):
-        """Start nothing yet."""
+        """Start no process before ``run``."""
         self._user = user
         self._folder = folder
         self._steps = Steps()
-        self._ended = contextlib.ExitStack()
+        self._cleanup = contextlib.ExitStack()
         self._instances = []
 
     def close(self):
         """End every process."""
-        self._ended.close()
+        self._cleanup.close()
 
     def run(self):
-        """Do every step."""
+        """Run every step.
+
+        Raises
+        ------
+        StepFailedError
+            If a step failed.
+        """
         with self._steps.step("start eight instances from their files"):
             self._start_instances()
         with self._steps.step("start the upstreams"):
             for upstream in upstreams_of(self._user):
                 self._start_upstream(upstream)
-            wait_until(self._all_known, what="known upstreams")
-        with self._steps.step("apply the selectors") as say:
+            wait_until(self._all_upstreams_listed, what="listed upstreams")
+        with self._steps.step("apply the selectors") as report:
             for selector in selectors_of(self._user):
-                say(self._apply(selector.name))
-        with self._steps.step("send work through each instance") as say:
+                report(self._apply_selector(selector.name))
+        with self._steps.step("send work through each instance") as report:
             for instance in self._instances:
-                self._send(instance)
-                say(f"{instance.name} answered a completion and an order")
+                self._send_work(instance)
+                report(f"{instance.name} answered a completion and an order")
 
     def _start_instances(self):
         os.chdir(self._folder)
@@ -80,12 +86,12 @@
             instance = Instance(
                 settings=settings_of(self._user, shape),
                 folder=folder,
-                command=SERVE,
+                command=SERVE_COMMAND,
                 key=example_key(self._user, "operators"),
             )
             self._instances.append(instance)
             instance.start()
-            self._ended.callback(instance.kill)
+            self._cleanup.callback(instance.kill)
         for instance in self._instances:
             instance.wait_ready()
 
@@ -108,17 +114,18 @@
             arguments=arguments,
             log_path=self._folder / f"{upstream.upstream_id}.log",
         )
-        self._ended.callback(process.kill)
+        self._cleanup.callback(process.kill)
         process.read_address()
 
-    def _all_known(self):
-        wanted = len(upstreams_of(self._user))
+    def _all_upstreams_listed(self):
+        expected = len(upstreams_of(self._user))
         return all(
-            len(one.operator("/operator/upstreams")["upstreams"]) == wanted
-            for one in self._instances
+            len(instance.operator("/operator/upstreams")["upstreams"])
+            == expected
+            for instance in self._instances
         )
 
-    def _apply(self, name):
+    def _apply_selector(self, name):
         path = ROOT / "examples" / self._user.name / "selectors"
         process = ChildProcess(
             arguments=[
@@ -137,7 +144,7 @@
         check(process.wait() == 0, f"{output}\n{process.log}")
         return f"{name}: {output}"
 
-    def _send(self, instance):
+    def _send_work(self, instance):
         caller = CallerClient(
             address=instance.address,
             key=example_key(self._user, self._user.callers[0]),
--- a/currantdeal/testing/examples.py
+++ b/currantdeal/testing/examples.py
@@ -1,8 +1,9 @@
-"""Writes the example deployments of both users.
+"""Generates the example deployments of both users.
 
-``python -m currantdeal.testing.examples FOLDER`` writes settings of eight
-instances, announcements of the upstreams, and selectors for each user.  All
-addresses are on loopback, so that a deployment can be tried on one machine.
+``python -m currantdeal.testing.examples FOLDER`` writes the settings of
+eight instances, the announcements of the upstreams and the selectors of each
+user.  All addresses are on loopback, so that a deployment can run on one
+machine.
 """
 
 from dataclasses import dataclass, replace
@@ -33,24 +34,25 @@
 
 INSTANCES = 8
 REPLICAS = 5
-PIECES = 2_400
+PIECES_TOTAL = 2_400
 LINK_BYTES_PER_S = 4e9
 KV_BYTES_PER_TOKEN = 100_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class User:
-    """One user's deployment.
+    """The deployment of one user.
 
     Parameters
     ----------
     first_port : int
-        Callers' port of the first instance; the others follow, peers' ports
-        a hundred above, upstreams' ports two hundred above.
+        Port for callers of the first instance; the other instances use the
+        following ones.  Ports for peers are 100 higher, those of upstreams
+        200 higher.
     callers : tuple of str
-        Whom work is charged to, each with a key.
+        Callers that work is accounted to, each with its own key.
     kinds : tuple of WorkKind
-        What the model serves.
+        Kinds of work that the model serves.
     """
 
     name: str
@@ -99,24 +101,26 @@
 
 
 def example_key(user, name):
-    """Return the key that an example's settings hold the hash of."""
+    """Return the key whose hash the settings of an example contain."""
     return f"change-me-{user.name}-{name}"
 
 
 def instance_shapes(user):
-    """Return the eight instances, spread over the regions."""
+    """Return the eight instances, distributed over the regions."""
     return spread(INSTANCES, replicas=REPLICAS, regions=user.regions)
 
 
 def settings_of(user, shape):
-    """Return the settings of one instance."""
+    """Return the settings of an instance."""
     shapes = instance_shapes(user)
     peers = {
-        one.name: f"127.0.0.1:{user.first_port + 100 + index}"
-        for index, one in enumerate(shapes)
+        instance.name: f"127.0.0.1:{user.first_port + 100 + index}"
+        for index, instance in enumerate(shapes)
     }
-    names = [one.name for one in shapes]
-    replicas = [one.name for one in shapes if one.disk]
+    names = [instance.name for instance in shapes]
+    replicas = [
+        instance.name for instance in shapes if instance.has_data_folder
+    ]
     port = user.first_port + names.index(shape.name)
     return Settings(
         instance=shape.name,
@@ -124,12 +128,12 @@
         data_center=shape.data_center,
         caller_address=f"127.0.0.1:{port}",
         peer_address=peers[shape.name],
-        seeds=tuple(peers[one] for one in replicas if one != shape.name),
+        seeds=tuple(peers[name] for name in replicas if name != shape.name),
         replicas=tuple(
-            PeerSettings(instance=one, peer_address=peers[one])
-            for one in replicas
+            PeerSettings(instance=name, peer_address=peers[name])
+            for name in replicas
         ),
-        data_folder=f"data/{shape.name}" if shape.disk else "",
+        data_folder=f"data/{shape.name}" if shape.has_data_folder else "",
         keys=_keys(user),
         timing=TimingSettings(deadline_s=user.deadline_s),
         weights=user.weights,
@@ -144,15 +148,15 @@
         _engine(user, index, name, role)
         for index, (name, role) in enumerate(kinds)
     )
-    first = len(engines)
+    offset = len(engines)
     services = tuple(
-        _service(user, first + index, index) for index in range(user.services)
+        _service(user, offset + index, index) for index in range(user.services)
     )
     return engines + services
 
 
 def selectors_of(user):
-    """Return the selectors that let labelled upstreams serve."""
+    """Return the selectors that admit upstreams by their label."""
     return (
         Selector(
             name="model",
@@ -172,7 +176,7 @@
 
 
 def write_example(user, folder):
-    """Write one user's deployment into a folder."""
+    """Write the deployment of a user into a folder."""
     for shape in instance_shapes(user):
         path = folder / "instances" / f"{shape.name}.json"
         _write(path, settings_of(user, shape))
@@ -210,7 +214,7 @@
         region=place.region,
         data_center=place.data_center,
         labels=(Label(name="lender", value="partner"),),
-        pieces_total=PIECES,
+        pieces_total=PIECES_TOTAL,
         link_bytes_per_s=LINK_BYTES_PER_S,
         kv_bytes_per_token=KV_BYTES_PER_TOKEN,
     )
@@ -244,7 +248,7 @@
 @click.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 def main(folder):
-    """Write the examples below a folder."""
+    """Write the example deployments into a folder."""
     for user in USERS:
         write_example(user, folder / user.name)
 
--- a/currantdeal/testing/instance.py
+++ b/currantdeal/testing/instance.py
@@ -1,4 +1,4 @@
-"""One instance of the system under the harness."""
+"""Runs and controls one instance of the system under test."""
 
 import contextlib
 
@@ -11,7 +11,7 @@
 from currantdeal.testing.waiting import wait_until
 
 TIMEOUT_S = 5.0
-READY = 200
+OK = 200
 
 
 class Instance:
@@ -20,13 +20,13 @@
     Parameters
     ----------
     settings : Settings
-        Its settings.
+        Settings of the instance.
     folder : Path
-        Where its settings, log and data are.
+        Folder for its settings, log and data.
     command : tuple of str
-        Module to run and its arguments, but for the path of the settings.
+        Module to run and its arguments before the path of the settings.
     key : str
-        Operator's key, to read its status.
+        Operator's key, which reading the status requires.
     """
 
     def __init__(self, *, settings, folder, command, key=OPERATOR_KEY):
@@ -48,17 +48,17 @@
 
     @property
     def settings(self):
-        """Settings it was started with."""
+        """Settings of the instance."""
         return self._settings
 
     @property
     def address(self):
-        """Where it listens for callers, past any proxy."""
+        """Address at which it listens for callers, without any proxy."""
         return self._settings.caller_address
 
     @property
     def advertised(self):
-        """Where callers are told to reach it."""
+        """Address that is advertised to callers; of the proxy, if any."""
         return (
             self._settings.advertised_caller_address
             or self._settings.caller_address
@@ -66,12 +66,12 @@
 
     @property
     def process(self):
-        """The process that runs at present or ran last."""
+        """The current process, or the last one."""
         return self._process
 
     @property
     def log(self):
-        """Everything its processes have logged."""
+        """Log of all its processes so far."""
         return self._process.log if self._process else ""
 
     def start(self):
@@ -82,7 +82,7 @@
         )
 
     def restart(self):
-        """Kill the process at once and start another one."""
+        """Kill the process as a crash would, and start another one."""
         self.kill()
         self.start()
 
@@ -92,48 +92,50 @@
             self._process.kill()
 
     def freeze(self):
-        """Stop the process, its connections stay open."""
+        """Suspend the process; its connections stay open."""
         self._process.freeze()
 
     def thaw(self):
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self._process.thaw()
 
     def terminate(self, **limits):
-        """Ask for a graceful shutdown and return the exit status."""
+        """Request a graceful shutdown and return the exit status."""
         return self._process.terminate(**limits)
 
     def ready(self):
-        """Return whether the instance says it is ready."""
+        """Return whether the instance reports that it is ready."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
-            return self._get("/readyz").status == READY
+            return self._get("/readyz").status == OK
         return False
 
     def wait_ready(self, **limits):
         """Return once the instance is ready."""
         try:
-            wait_until(self._ready_or_dead, what="readiness", **limits)
+            wait_until(self._check_ready, what="readiness", **limits)
         except HarnessError as exc:
             tail = self.log[-4000:]
             raise HarnessError(f"{self.name}: {exc}\n{tail}") from exc
 
     def operator(self, path):
-        """Return the decoded answer of an operator's read."""
+        """Return the decoded answer to a GET request of an operator."""
         try:
             answer = self._get(path)
         except urllib3.exceptions.HTTPError as exc:
             raise HarnessError(f"{self.name}: {exc}") from exc
-        if answer.status != READY:
+        if answer.status != OK:
             raise HarnessError(f"{path}: {answer.status} {answer.data!r}")
         return msgspec.json.decode(answer.data)
 
     def status(self):
-        """Return what ``/operator/status`` says."""
+        """Return the decoded answer of ``/operator/status``."""
         return self.operator("/operator/status")
 
-    def _ready_or_dead(self):
+    def _check_ready(self):
         if not self._process.running:
-            raise HarnessError(f"ended with {self._process.exit_code}")
+            raise HarnessError(
+                f"process ended with status {self._process.exit_code}"
+            )
         return self.ready()
 
     def _get(self, path):
--- a/currantdeal/testing/node_processes.py
+++ b/currantdeal/testing/node_processes.py
@@ -1,7 +1,7 @@
-"""Real entry and control processes on loopback addresses of their own.
+"""Starts entry and control processes, each on its own loopback address.
 
-Every instance has its own address in 127.0.0.0/8, so that all can use the
-same ports, as they do on the platform.
+Each process has an address of its own in 127.0.0.0/8, so that all of them
+can use the same port numbers, as they do on the platform.
 """
 
 import itertools
@@ -21,16 +21,16 @@
 
 
 class NodeProcess:
-    """One process and the settings file that it was started with.
+    """A process and its settings file.
 
     Parameters
     ----------
     role : str
         ``entry`` or ``control``.
     settings : dict
-        Its settings, in the product's own format.
+        Content of the settings file.
     folder : pathlib.Path
-        Holds the settings file and the log.
+        Folder for the settings file and the log.
     """
 
     def __init__(self, *, role, settings, folder):
@@ -43,7 +43,7 @@
 
     @property
     def lines(self):
-        """Log lines so far, decoded."""
+        """Decoded log lines so far."""
         raw = self._log.read_text().splitlines()
         return [json.loads(line) for line in raw if line.startswith("{")]
 
@@ -53,7 +53,7 @@
         return self._process is not None and self._process.poll() is None
 
     def write_settings(self, **changes):
-        """Write the settings file, with changes."""
+        """Change some settings and write the settings file."""
         self.settings = {**self.settings, **changes}
         self._path.write_text(json.dumps(self.settings))
 
@@ -81,14 +81,14 @@
         self._process.send_signal(number)
 
     def kill(self):
-        """End the process without notice."""
+        """End the process at once, as a crash would."""
         if self.is_running:
             self._process.kill()
         if self._process is not None:
             self._process.wait()
 
     def wait(self, timeout_s):
-        """Return the exit status."""
+        """Return the exit status once the process has ended."""
         return self._process.wait(timeout_s)
 
 
@@ -98,27 +98,27 @@
     Parameters
     ----------
     folder : pathlib.Path
-        Holds settings, logs and data folders.
+        Folder for settings, logs and data folders.
     control, entries : int
-        Numbers of processes.
+        Numbers of control and entry processes.
     """
 
     def __init__(self, *, folder, control=3, entries=2):
-        """Write down who is where; nothing starts before ``start``."""
+        """Assign addresses; ``with`` starts the processes."""
         self._folder = folder
-        self._base = _free_base()
+        self._address_prefix = _address_prefix()
         self._ports = [_free_port() for _ in range(6)]
         self._numbers = itertools.count(1)
         self.control = [
-            self._control(next(self._numbers)) for _ in range(control)
+            self._make_control(next(self._numbers)) for _ in range(control)
         ]
         self.entries = [
-            self._entry(number) for number in range(1, entries + 1)
+            self._make_entry(number) for number in range(1, entries + 1)
         ]
 
     @property
     def processes(self):
-        """All processes."""
+        """All control and entry processes."""
         return [*self.control, *self.entries]
 
     def __enter__(self):
@@ -133,60 +133,66 @@
             process.kill()
 
     def control_url(self, process, path):
-        """Return the address of a call to control."""
+        """Return the URL of a path at a control process."""
         return f"http://{process.settings['listen']['control']}{path}"
 
     def add_control(self):
-        """Return one more control process, which is to be started."""
-        self.control.append(self._control(next(self._numbers)))
+        """Add a control process and return it; the test starts it."""
+        self.control.append(self._make_control(next(self._numbers)))
         return self.control[-1]
 
     def metrics_url(self, process):
-        """Return the address of a process's metrics."""
+        """Return the URL of a process's metrics."""
         return f"http://{process.settings['listen']['metrics']}/metrics"
 
     def call(self, method, url, body=None):
-        """Make a call; returns status and body, status 0 if none came."""
+        """Send a request; return status and body, or 0 without an answer."""
         request = urllib.request.Request(url, data=body, method=method)
         try:
-            with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_S) as a:
-                return a.status, a.read()
+            with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_S) as r:
+                return r.status, r.read()
         except urllib.error.HTTPError as exc:
             return exc.code, exc.read()
         except OSError:
             return 0, b""
 
     def put_config(self, body, *, timeout_s=START_TIMEOUT_S):
-        """Send a configuration until a control instance acknowledges it."""
-        return self._until_status("PUT", "/v1/config", body, 200, timeout_s)
+        """Send a configuration until a control process acknowledges it."""
+        return self._call_until_status(
+            "PUT", "/v1/config", body, 200, timeout_s
+        )
 
     def get_config(self, *, timeout_s=START_TIMEOUT_S):
-        """Read the configuration back from whoever is certain of it."""
-        return self._until_status("GET", "/v1/config", None, 200, timeout_s)
+        """Return the configuration once a control process confirms it."""
+        return self._call_until_status(
+            "GET", "/v1/config", None, 200, timeout_s
+        )
 
-    def announce(self, upstream, beat):
+    def announce(self, upstream, heartbeat):
         """Send a heartbeat of an upstream."""
         path = f"/v1/instances/{upstream}"
-        body = json.dumps(beat).encode()
-        return self._until_status("PUT", path, body, 200, START_TIMEOUT_S)
+        body = json.dumps(heartbeat).encode()
+        return self._call_until_status("PUT", path, body, 200, START_TIMEOUT_S)
 
     def is_ready(self, entry):
-        """Return whether an entry says that it is ready."""
+        """Return whether an entry process reports that it is ready."""
         url = f"http://{entry.settings['listen']['readiness']}/v1/readyz"
         return self.call("GET", url)[0] == 200
 
-    def _until_status(self, method, path, body, wanted, timeout_s):
-        ends = time.monotonic() + timeout_s
-        while time.monotonic() < ends:
+    def _call_until_status(self, method, path, body, expected, timeout_s):
+        end_s = time.monotonic() + timeout_s
+        while time.monotonic() < end_s:
             for process in self.control:
                 url = self.control_url(process, path)
                 status, answer = self.call(method, url, body)
-                if status == wanted:
+                if status == expected:
                     return answer
             time.sleep(0.1)
-        raise TimeoutError(f"{method} {path}: never {wanted}")
+        raise TimeoutError(
+            f"{method} {path}: no status {expected} within {timeout_s} s"
+        )
 
-    def _settings(self, name, host, listen):
+    def _make_settings(self, name, host, listen):
         control_port = self._ports[0]
         return {
             "instance": name,
@@ -197,7 +203,8 @@
             "peer_port": self._ports[2],
             "listen": listen,
             "control_addresses": [
-                f"{self._base}.{number}:{control_port}" for number in (1, 2, 3)
+                f"{self._address_prefix}.{number}:{control_port}"
+                for number in (1, 2, 3)
             ],
             "first_start": True,
             "data_folder": str(self._folder / name),
@@ -205,33 +212,34 @@
             "bounds": {"GraceS": 8, "RetryBurst": 50, "LeaseMs": 1_000},
         }
 
-    def _control(self, number):
-        host = f"{self._base}.{number}"
+    def _make_control(self, number):
+        host = f"{self._address_prefix}.{number}"
         listen = {
             "control": f"{host}:{self._ports[0]}",
             "directory": f"{host}:{self._ports[1]}",
             "metrics": f"{host}:{self._ports[5]}",
         }
-        settings = self._settings(f"control-{number}", host, listen)
+        settings = self._make_settings(f"control-{number}", host, listen)
         return NodeProcess(
             role="control", settings=settings, folder=self._folder
         )
 
-    def _entry(self, number):
-        host = f"{self._base}.{100 + number}"
+    def _make_entry(self, number):
+        host = f"{self._address_prefix}.{100 + number}"
         listen = {
             "callers": f"{host}:{self._ports[3]}",
             "readiness": f"{host}:{self._ports[4]}",
             "metrics": f"{host}:{self._ports[5]}",
         }
-        settings = self._settings(f"entry-{number}", host, listen)
+        settings = self._make_settings(f"entry-{number}", host, listen)
         return NodeProcess(
             role="entry", settings=settings, folder=self._folder
         )
 
 
-def _free_base():
-    # Clusters of tests that run side by side must not share addresses.
+def _address_prefix():
+    # Derived from the process id, so that clusters of tests that run in
+    # parallel do not share addresses.
     number = os.getpid() % 60_000
     return f"127.{1 + number // 250}.{number % 250}"
 
--- a/currantdeal/testing/operator.py
+++ b/currantdeal/testing/operator.py
@@ -1,4 +1,4 @@
-"""An operator of the system, as tests play it."""
+"""Sends requests as an operator of the system, for tests."""
 
 import uuid
 
@@ -17,7 +17,7 @@
 
 
 class OperatorCalls:
-    """Sends an operator's changes to one instance.
+    """Sends the changes of an operator to one instance.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
         return self._send("PUT", f"selectors/{selector.name}", body)
 
     def withdraw(self, upstream_id, *, expected_version=0, wait_s=0.0):
-        """Set the label that gives an upstream no new work."""
+        """Set the label that stops new work for an upstream."""
         body = LabelsBody(
             request_id=uuid.uuid4().hex,
             expected_version=expected_version,
@@ -51,7 +51,7 @@
         return self._send("POST", f"upstreams/{upstream_id}/labels", body)
 
     def restore(self, upstream_id, *, expected_version, wait_s=10.0):
-        """Remove the label again."""
+        """Remove the label that ``withdraw`` sets."""
         body = LabelsBody(
             request_id=uuid.uuid4().hex,
             expected_version=expected_version,
@@ -61,8 +61,8 @@
         return self._send("POST", f"upstreams/{upstream_id}/labels", body)
 
     def _send(self, method, path, body):
-        # A change that no leader took in time is sent again under the
-        # request id it had, as an operator is told to do.
+        # A change that no leader accepted in time is retried with the same
+        # request id, which is what operators are asked to do.
         return wait_until(
             lambda: self._send_once(method, path, body),
             what=f"an answer to {method} {path}",
--- a/currantdeal/testing/ports.py
+++ b/currantdeal/testing/ports.py
@@ -1,8 +1,9 @@
-"""Ports that stay reserved while a harness uses them.
+"""Reserves port numbers for tests, across processes.
 
-A port picked by binding port 0 may be given to another process between the
-pick and its use, and a parallel test run then fails at random.  So ports are
-taken below the range that the system hands out, under one lock file each.
+The operating system may assign a port that was found by binding port 0 to
+another process before the test uses it, which makes parallel test runs fail
+at random.  Therefore ports are chosen below the ephemeral port range, and
+each one is reserved with a lock on a file.
 """
 
 import contextlib
@@ -16,11 +17,11 @@
 
 FIRST_PORT = 15_000
 LAST_PORT = 32_000
-TRIES = 2_000
+ATTEMPTS = 2_000
 
 
 class PortReservations:
-    """Ports that this object holds until it is closed.
+    """Ports that are reserved until the object is closed.
 
     Examples
     --------
@@ -32,35 +33,38 @@
     """
 
     def __init__(self):
-        """Hold no port yet."""
+        """Reserve no port yet."""
         self._locks = []
         self._folder = Path(tempfile.gettempdir()) / "currantdeal-ports"
         self._folder.mkdir(exist_ok=True)
 
     def take(self):
-        """Return a free port that no other harness will take."""
-        for _ in range(TRIES):
+        """Reserve a free port and return it."""
+        for _ in range(ATTEMPTS):
             port = random.randint(FIRST_PORT, LAST_PORT)
-            if self._lock(port):
+            if self._try_reserve(port):
                 return port
-        raise HarnessError("no free port")
+        raise HarnessError(
+            f"no free port between {FIRST_PORT} and {LAST_PORT} "
+            f"after {ATTEMPTS} attempts"
+        )
 
     def take_address(self):
-        """Return a free port as ``127.0.0.1:PORT``."""
+        """Reserve a free port and return it as ``127.0.0.1:PORT``."""
         return f"127.0.0.1:{self.take()}"
 
     def close(self):
-        """Give all ports back."""
+        """Release all ports."""
         for lock in self._locks:
             lock.close()
         self._locks.clear()
 
-    def _lock(self, port):
+    def _try_reserve(self, port):
         lock = (self._folder / str(port)).open("w")
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            _probe(socket.SOCK_STREAM, port)
-            _probe(socket.SOCK_DGRAM, port)
+            _check_free(socket.SOCK_STREAM, port)
+            _check_free(socket.SOCK_DGRAM, port)
         except OSError:
             lock.close()
             return False
@@ -68,7 +72,7 @@
         return True
 
 
-def _probe(kind, port):
+def _check_free(kind, port):
     with contextlib.closing(socket.socket(socket.AF_INET, kind)) as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         probe.bind(("127.0.0.1", port))
--- a/currantdeal/testing/processes.py
+++ b/currantdeal/testing/processes.py
@@ -1,4 +1,7 @@
-"""Processes of the harness: started, watched and ended one by one."""
+"""Starts, observes and ends child processes of tests.
+
+Each process is ended on its own, by its process id.
+"""
 
 import contextlib
 import os
@@ -17,14 +20,14 @@
 
 
 class ChildProcess:
-    """One process that this one started; ended by its process id.
+    """A Python child process.
 
     Parameters
     ----------
     arguments : sequence of str
-        Arguments for the Python that runs this process.
+        Arguments for the Python interpreter that runs this process.
     log_path : Path
-        File that takes standard error.
+        File to which standard error is appended.
     environment : mapping, optional
         Additional environment variables.
     """
@@ -45,7 +48,7 @@
 
     @property
     def arguments(self):
-        """Arguments that the process was started with."""
+        """Arguments of the Python interpreter."""
         return self._arguments
 
     @property
@@ -65,11 +68,11 @@
 
     @property
     def log(self):
-        """What the process wrote to standard error."""
+        """Content of the log file."""
         return self._log_path.read_text(errors="replace")
 
     def read_address(self):
-        """Return the address in the process's first line of output."""
+        """Return the address that the first line of output states."""
         line = self._popen.stdout.readline()
         try:
             return msgspec.json.decode(line)["address"]
@@ -79,31 +82,31 @@
             ) from exc
 
     def read_output(self):
-        """Return everything that the process prints until its end."""
+        """Return the standard output, once the process has closed it."""
         return self._popen.stdout.read().decode(errors="replace")
 
     def send_signal(self, number):
-        """Send a signal; a process that has ended is fine."""
+        """Send a signal; ignored if the process has ended."""
         with contextlib.suppress(ProcessLookupError):
             self._popen.send_signal(number)
 
     def kill(self):
         """End the process at once, as a crash would."""
         self.send_signal(signal.SIGKILL)
-        # A frozen process ends too: SIGKILL needs no consent.
+        # SIGKILL also ends a suspended process, so this wait returns.
         self._popen.wait()
         self._popen.stdout.close()
 
     def freeze(self):
-        """Stop the process without ending it or its connections."""
+        """Suspend the process; its connections stay open."""
         self.send_signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.send_signal(signal.SIGCONT)
 
     def terminate(self, *, limit_s=STOP_S):
-        """Ask for a graceful shutdown and return the exit status."""
+        """Request a graceful shutdown and return the exit status."""
         self.send_signal(signal.SIGTERM)
         return self.wait(limit_s=limit_s)
 
@@ -118,5 +121,5 @@
 
 
 def _python_path():
-    known = os.environ.get("PYTHONPATH", "")
-    return os.pathsep.join(filter(None, (str(ROOT), known)))
+    inherited = os.environ.get("PYTHONPATH", "")
+    return os.pathsep.join(filter(None, (str(ROOT), inherited)))
--- a/currantdeal/testing/progress.py
+++ b/currantdeal/testing/progress.py
@@ -1,4 +1,8 @@
-"""Steps of a demonstration: each with its time, its result, its failure."""
+"""Runs the steps of a demonstration and prints their progress.
+
+Each step prints its name, its results and its duration; a failure names the
+step.
+"""
 
 import contextlib
 import threading
@@ -8,11 +12,11 @@
 
 from currantdeal.core import CurrantdealError
 
-TICK_S = 1.0
+ELAPSED_INTERVAL_S = 1.0
 
 
 class StepFailedError(CurrantdealError):
-    """A step did not bring what it has to bring.
+    """A step of a demonstration failed.
 
     Parameters
     ----------
@@ -27,48 +31,48 @@
 
 
 class Steps:
-    """Runs named steps and prints what each one got."""
+    """Runs named steps and prints their results and durations."""
 
     def __init__(self):
-        """Count from one."""
+        """Begin the numbering of steps."""
         self._count = 0
 
     @contextlib.contextmanager
     def step(self, name):
-        """Run the body as one step; it is given a function that prints.
+        """Run the ``with`` body as a step; yields a function that prints.
 
         Raises
         ------
         StepFailedError
-            If the body raises an error of the project or an assertion.
+            If the body raises ``CurrantdealError`` or ``AssertionError``.
         """
         self._count += 1
         click.echo(f"[{self._count}] {name}")
         started_s = time.monotonic()
-        done = threading.Event()
+        ended = threading.Event()
         threading.Thread(
-            target=_tick, args=(done, started_s), daemon=True
+            target=_print_elapsed, args=(ended, started_s), daemon=True
         ).start()
         try:
-            yield _say
+            yield _print_result
         except (CurrantdealError, AssertionError) as exc:
             raise StepFailedError(str(exc), step=name) from exc
         finally:
-            done.set()
+            ended.set()
         click.echo(f"    done in {time.monotonic() - started_s:.1f} s")
 
 
 def check(condition, message):
-    """Raise ``AssertionError`` with a message unless a condition holds."""
+    """Raise ``AssertionError`` with a message unless the condition holds."""
     if not condition:
         raise AssertionError(message)
 
 
-def _say(text):
+def _print_result(text):
     click.echo(f"    {text}")
 
 
-def _tick(done, started_s):
-    while not done.wait(TICK_S):
+def _print_elapsed(ended, started_s):
+    while not ended.wait(ELAPSED_INTERVAL_S):
         elapsed_s = time.monotonic() - started_s
         click.echo(f"    ... {elapsed_s:.0f} s", err=True)
--- a/currantdeal/testing/proxy.py
+++ b/currantdeal/testing/proxy.py
@@ -1,8 +1,9 @@
-"""TCP and UDP proxy that injects faults between any two parties.
+"""Forwards TCP and UDP between two addresses and injects network faults.
 
-All proxies of a process share one event loop on a thread of its own.  Bytes
-that a fault holds back are delivered when it is lifted, as TCP would do
-after a silent partition, unless the connection was silenced for good.
+All proxies of a process share one event loop, which runs on a separate
+thread.  Bytes that a partition holds back are delivered when it heals, as
+TCP's retransmission would do, except on connections that
+``FaultProxy.silence_open`` stalled permanently.
 
 Examples
 --------
@@ -23,15 +24,15 @@
 
 from currantdeal.testing.errors import HarnessError
 
-BLOCK = 65_536
-QUEUE_BLOCKS = 256
-HOLD_POLL_S = 0.01
-BIND_TRIES = 20
+CHUNK_BYTES = 65_536
+QUEUE_CHUNKS = 256
+PARTITION_POLL_S = 0.01
+BIND_ATTEMPTS = 20
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Cut(str, Enum):
-    """Directions in which nothing gets through."""
+    """Directions in which a partition holds back all bytes."""
 
     NONE = "none"
     TO_TARGET = "to-target"
@@ -41,18 +42,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LinkFaults:
-    """What a proxy does to the bytes that pass.
+    """Faults that a proxy injects.
 
     Parameters
     ----------
     delay_s : float
         Delay in each direction, in seconds.
     bytes_per_s : float
-        Rate of each connection and direction; 0 for no limit.
+        Maximum rate of each connection and direction; 0 for no limit.
     cut : Cut
-        Directions that are silently held, for old and new connections.
+        Directions that are partitioned, for open and new connections, which
+        stay open.
     refuse : bool
-        New connections are reset at once.
+        True to reset new connections at once.
     """
 
     delay_s: float = 0.0
@@ -62,10 +64,10 @@
 
 
 class _Connection:
-    """One connection and its two directions."""
+    """A forwarded connection: one socket on each side."""
 
     def __init__(self):
-        self.silenced = False
+        self.stalled = False
         self.writers = []
 
     def close(self, *, reset):
@@ -80,14 +82,14 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Forwards datagrams one way, and loses them while the way is cut."""
+    """Forwards datagrams to the target, and drops them in a partition."""
 
     def __init__(self, *, target, faults):
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
         self._faults = faults
         self._transport = None
-        self.passed = 0
+        self.forwarded = 0
 
     def connection_made(self, transport):
         self._transport = transport
@@ -99,21 +101,21 @@
             loop.call_later(faults.delay_s, self._send, data)
 
     def error_received(self, exc):
-        # The target's port is closed; the datagram is lost, which is what
-        # a datagram may be.
+        # The target's port is closed and the datagram is lost, which UDP
+        # allows.
         pass
 
     def _send(self, data):
         if not self._transport.is_closing():
-            self.passed += len(data)
+            self.forwarded += len(data)
             self._transport.sendto(data, self._target)
 
 
 class FaultProxy:
     """Listens on one address and forwards to another.
 
-    Datagrams to the same port number are forwarded one way; a cut towards
-    the target loses them.
+    Datagrams to the same port number are forwarded to the target only; a
+    partition in that direction drops them.
 
     Parameters
     ----------
@@ -122,21 +124,21 @@
     address : str
         ``IP:PORT`` to listen on; port 0 picks a free one.
     faults : LinkFaults
-        Faults from the start.
+        Initial faults; none by default.
     """
 
     def __init__(self, *, target, address="127.0.0.1:0", faults=None):
-        """Listen and forward at once."""
+        """Listen and begin to forward."""
         self._target = target
         self._faults = faults or LinkFaults()
         self._connections = set()
-        self._passed = {Cut.TO_TARGET: 0, Cut.TO_SOURCE: 0}
+        self._forwarded = {Cut.TO_TARGET: 0, Cut.TO_SOURCE: 0}
         listener, receiver = _bind(address)
         self._address = "{}:{}".format(*listener.getsockname()[:2])
         self._datagrams = _Datagrams(
             target=target, faults=lambda: self._faults
         )
-        self._server, self._receiver = _on_loop(
+        self._server, self._receiver = _run_on_loop(
             self._listen(listener, receiver)
         )
 
@@ -152,51 +154,53 @@
 
     @property
     def faults(self):
-        """Faults that are set."""
+        """Faults that are currently injected."""
         return self._faults
 
     @property
     def bytes_to_target(self):
-        """Bytes sent on to the target so far."""
-        return self._passed[Cut.TO_TARGET]
+        """Bytes forwarded to the target so far."""
+        return self._forwarded[Cut.TO_TARGET]
 
     @property
     def bytes_to_source(self):
-        """Bytes sent on to those who connected, so far."""
-        return self._passed[Cut.TO_SOURCE]
+        """Bytes forwarded to the connecting side so far."""
+        return self._forwarded[Cut.TO_SOURCE]
 
     @property
     def datagram_bytes(self):
-        """Bytes of datagrams sent on so far."""
-        return self._datagrams.passed
+        """Bytes of datagrams forwarded so far."""
+        return self._datagrams.forwarded
 
     @property
     def open_connections(self):
-        """Number of connections that are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def set_faults(self, faults):
-        """Replace the faults; they hold for open connections as well."""
+        """Replace the faults, for open connections as well."""
         self._faults = faults
 
     def silence_open(self):
-        """Hold every open connection for good; new ones work."""
-        _on_loop(self._silence())
+        """Stall every open connection permanently; new ones work."""
+        _run_on_loop(self._stall_all())
 
     def reset_open(self):
         """Reset every open connection."""
-        _on_loop(self._close_all(reset=True))
+        _run_on_loop(self._close_all(reset=True))
 
-    def drop_open(self):
-        """Close every open connection without a reset."""
-        _on_loop(self._close_all(reset=False))
+    def close_open(self):
+        """Close every open connection, without a reset."""
+        _run_on_loop(self._close_all(reset=False))
 
     def close(self):
         """Stop listening and close every connection."""
-        _on_loop(self._stop())
+        _run_on_loop(self._stop())
 
     async def _listen(self, listener, receiver):
-        server = await asyncio.start_server(self._accepted, sock=listener)
+        server = await asyncio.start_server(
+            self._handle_connection, sock=listener
+        )
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: self._datagrams, sock=receiver
@@ -208,15 +212,15 @@
         self._receiver.close()
         await self._close_all(reset=True)
 
-    async def _silence(self):
+    async def _stall_all(self):
         for connection in self._connections:
-            connection.silenced = True
+            connection.stalled = True
 
     async def _close_all(self, *, reset):
         for connection in list(self._connections):
             connection.close(reset=reset)
 
-    async def _accepted(self, reader, writer):
+    async def _handle_connection(self, reader, writer):
         connection = _Connection()
         connection.writers.append(writer)
         self._connections.add(connection)
@@ -232,62 +236,64 @@
         if self._faults.refuse:
             connection.close(reset=True)
             return
-        await self._wait_open(connection, Cut.TO_TARGET)
+        await self._wait_unblocked(connection, Cut.TO_TARGET)
         await asyncio.sleep(self._faults.delay_s)
         host, _, port = self._target.rpartition(":")
-        far_reader, far_writer = await asyncio.open_connection(host, port)
-        connection.writers.append(far_writer)
-        for one in (writer, far_writer):
-            one.get_extra_info("socket").setsockopt(
+        target_reader, target_writer = await asyncio.open_connection(
+            host, port
+        )
+        connection.writers.append(target_writer)
+        for endpoint in (writer, target_writer):
+            endpoint.get_extra_info("socket").setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
             )
         async with asyncio.TaskGroup() as group:
             for source, sink, direction in (
-                (reader, far_writer, Cut.TO_TARGET),
-                (far_reader, writer, Cut.TO_SOURCE),
+                (reader, target_writer, Cut.TO_TARGET),
+                (target_reader, writer, Cut.TO_SOURCE),
             ):
-                blocks = asyncio.Queue(QUEUE_BLOCKS)
-                group.create_task(self._read(source, blocks))
+                chunks = asyncio.Queue(QUEUE_CHUNKS)
+                group.create_task(self._read(source, chunks))
                 group.create_task(
-                    self._write(connection, blocks, sink, direction)
+                    self._write(connection, chunks, sink, direction)
                 )
 
-    async def _read(self, reader, blocks):
+    async def _read(self, reader, chunks):
         loop = asyncio.get_running_loop()
-        block = b"more"
-        while block:
-            block = await _read_block(reader)
+        chunk = b"more"
+        while chunk:
+            chunk = await _read_chunk(reader)
             due_s = loop.time() + self._faults.delay_s
-            await blocks.put((due_s, block))
+            await chunks.put((due_s, chunk))
 
-    async def _write(self, connection, blocks, writer, direction):
+    async def _write(self, connection, chunks, writer, direction):
         loop = asyncio.get_running_loop()
         while True:
-            due_s, block = await blocks.get()
+            due_s, chunk = await chunks.get()
             await asyncio.sleep(due_s - loop.time())
-            await self._wait_open(connection, direction)
-            if not block:
-                await _end(writer)
+            await self._wait_unblocked(connection, direction)
+            if not chunk:
+                await _send_eof(writer)
                 return
             if self._faults.bytes_per_s:
-                await asyncio.sleep(len(block) / self._faults.bytes_per_s)
-            self._passed[direction] += len(block)
-            writer.write(block)
+                await asyncio.sleep(len(chunk) / self._faults.bytes_per_s)
+            self._forwarded[direction] += len(chunk)
+            writer.write(chunk)
             await writer.drain()
 
-    async def _wait_open(self, connection, direction):
-        while self._holds(connection, direction):
-            await asyncio.sleep(HOLD_POLL_S)
+    async def _wait_unblocked(self, connection, direction):
+        while self._is_blocked(connection, direction):
+            await asyncio.sleep(PARTITION_POLL_S)
 
-    def _holds(self, connection, direction):
+    def _is_blocked(self, connection, direction):
         cut = self._faults.cut
-        return connection.silenced or cut in (direction, Cut.BOTH)
+        return connection.stalled or cut in (direction, Cut.BOTH)
 
 
 def _bind(address):
     """Return a listener and a datagram socket with one port number."""
     host, _, port = address.rpartition(":")
-    for _ in range(BIND_TRIES):
+    for _ in range(BIND_ATTEMPTS):
         listener = socket.create_server((host, int(port)), backlog=256)
         receiver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -300,16 +306,16 @@
     raise HarnessError(f"no port for both TCP and UDP at {address}")
 
 
-async def _read_block(reader):
-    # A reset on one side reaches the other as an end; a party that needs to
-    # tell them apart gets resets from ``reset_open``.
+async def _read_chunk(reader):
+    # A reset of one side reaches the other side as an end of stream.  A test
+    # that needs a reset uses ``reset_open``.
     try:
-        return await reader.read(BLOCK)
+        return await reader.read(CHUNK_BYTES)
     except OSError:
         return b""
 
 
-async def _end(writer):
+async def _send_eof(writer):
     with contextlib.suppress(OSError):
         if writer.can_write_eof():
             writer.write_eof()
@@ -324,5 +330,5 @@
     return loop
 
 
-def _on_loop(work):
+def _run_on_loop(work):
     return asyncio.run_coroutine_threadsafe(work, _loop()).result()
--- a/currantdeal/testing/shapes.py
+++ b/currantdeal/testing/shapes.py
@@ -1,4 +1,4 @@
-"""Shapes of clusters that the harness starts."""
+"""Defines which instances a test cluster has, and the keys they accept."""
 
 from dataclasses import dataclass, field
 from hashlib import sha256
@@ -14,9 +14,9 @@
 OPERATOR_KEY = "operator-key-of-the-harness"
 UPSTREAM_KEY = "upstream-key-of-the-harness"
 
-SERVE = ("currantdeal.cli.main", "serve", "--settings")
+SERVE_COMMAND = ("currantdeal.cli.main", "serve", "--settings")
 ALONE = ("currantdeal.cli.tests.local_daemon",)
-"""A lone instance without replicated state."""
+"""Command of a single instance without replicated state."""
 
 NUBE_REGIONS = ("bizkaia", "cantabria", "asturias")
 
@@ -27,32 +27,32 @@
 
     Parameters
     ----------
-    disk : bool
-        True for an instance with a data folder: it is a replica.
+    has_data_folder : bool
+        True for a replica, which stores replicated state on disk.
     """
 
     name: str
     region: str
     data_center: str
-    disk: bool
+    has_data_folder: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClusterShape:
-    """What the harness starts.
+    """Instances of a cluster and how they are connected.
 
     Parameters
     ----------
     proxied : bool
-        Put a proxy between each pair of instances, and before each
-        instance's caller address and each upstream.
+        Put a fault proxy between each pair of instances, in front of each
+        instance's caller address and in front of each upstream.
     region_delay_s, local_delay_s : float
         One-way delay between and within regions; proxied clusters only.
-    extra : mapping
-        Other settings, the same for each instance.
+    extra_settings : mapping
+        Additional settings, the same for each instance.
     command : tuple of str
-        Module that runs an instance, and what stands before the path of the
-        settings on its command line.
+        Module that runs an instance, and its arguments before the path of
+        the settings.
     """
 
     instances: tuple[InstanceShape, ...]
@@ -60,8 +60,8 @@
     proxied: bool = False
     region_delay_s: float = 0.0
     local_delay_s: float = 0.0
-    extra: dict = field(default_factory=dict)
-    command: tuple[str, ...] = SERVE
+    extra_settings: dict = field(default_factory=dict)
+    command: tuple[str, ...] = SERVE_COMMAND
 
     def delay_s(self, source, target):
         """Return the one-way delay between two instances."""
@@ -71,7 +71,9 @@
 
 
 def spread(count, *, replicas=3, regions=NUBE_REGIONS):
-    """Return instances spread over regions, the first ones with disks.
+    """Return instances, distributed over regions round-robin.
+
+    The first ``replicas`` of them have a data folder.
 
     Examples
     --------
@@ -88,14 +90,14 @@
                 name=f"{region}-{number}",
                 region=region,
                 data_center=f"{region}-dc",
-                disk=index < replicas,
+                has_data_folder=index < replicas,
             )
         )
     return tuple(shapes)
 
 
 def harness_keys():
-    """Return one key of each kind, as settings hold them."""
+    """Return the settings of one key of each kind."""
     return (
         _key("tests", KeyKind.CALLER, CALLER_KEY, caller=CallerId("tests")),
         _key("operator", KeyKind.OPERATOR, OPERATOR_KEY),
@@ -103,6 +105,6 @@
     )
 
 
-def _key(name, kind, key, **more):
+def _key(name, kind, key, **fields):
     digest = sha256(key.encode()).hexdigest()
-    return KeySettings(name=name, kind=kind, sha256=digest, **more)
+    return KeySettings(name=name, kind=kind, sha256=digest, **fields)
--- a/currantdeal/testing/tests/features/callers.feature
+++ b/currantdeal/testing/tests/features/callers.feature
@@ -1,27 +1,27 @@
-Feature: What callers are promised
-  Three instances in three regions stand before two prefill engines, two
-  decode engines and a shop, with a proxy on every path.
+Feature: Guarantees for callers
+  Three instances in three regions serve callers, with two prefill engines,
+  two decode engines and a shop as upstreams, and a fault proxy on every path.
 
   Background:
     Given a cluster with engines and a shop
 
   Scenario: A caller hangs up in the middle of a stream
-    A baker closes the window while the answer is being written. Without a
-    cancel the engine would write it to its end, and others would wait for
-    the memory that it holds.
+    A caller disconnects while its answer is being generated. Without a cancel
+    request the engine would generate the whole output, and other requests
+    would wait for the memory that it holds.
 
-    When a caller hangs up in the middle of a long stream
+    When a caller disconnects in the middle of a long stream
     Then no engine holds memory after 5 seconds
     And no engine has finished the output
 
   Scenario Outline: The instance that serves a request is killed
-    A machine loses power while one of its requests is under way. The caller
-    sees the connection break; on the engines the request goes on, and takes
-    memory that nobody will ever ask for.
+    A machine loses power with a request in flight. The caller's connection
+    breaks; on the engines the request continues and holds memory for a result
+    that no caller will read.
 
     When the first instance is killed with a request in <stage>
     Then no engine holds memory after 5 seconds
-    And another instance serves the same request whole
+    And another instance serves the same request completely
 
     Examples:
       | stage    |
@@ -30,12 +30,13 @@
       | decode   |
 
   Scenario Outline: An engine dies in the middle of a request
-    An engine's process ends without a word while it computes, sends or
-    takes a KV cache, or writes output. What it held is gone; a caller would
-    see an error, or a stream that ends in the middle.
+    The process of an engine crashes while it computes, sends or receives a KV
+    cache, or generates output. The content of its memory is lost; without a
+    retry the caller would receive an error, or a stream that ends in the
+    middle.
 
-    When an engine dies with a request in <stage>
-    Then every stream is whole
+    When an engine crashes with a request in <stage>
+    Then every stream is complete
     And no engine holds memory after 5 seconds
 
     Examples:
@@ -47,61 +48,64 @@
 
   Scenario: A transfer stalls
     An engine sends half of a KV cache and then nothing more, while the
-    connection stays open. The request would wait for ever, and hold memory
-    at both engines.
+    connection stays open. Without a timeout the request would wait forever
+    and hold memory at both engines.
 
     When transfers from one engine stall
-    Then every stream is whole or refused with an outcome
+    Then every stream is complete or refused with an outcome
     And no engine holds memory after 5 seconds
 
   Scenario: Every pooled connection goes silent at once
-    A device between instances and engines forgets all connections that it
-    tracks. Nothing is closed and nothing arrives; a caller would see a
-    stream that stands still and then ends in the middle.
+    A firewall or load balancer between instances and engines loses the state
+    of all connections that it tracks. No connection is closed and no data
+    arrives; a caller would receive a stream that stalls and then ends in the
+    middle.
 
-    When every open connection goes silent under 6 streams
-    Then every stream is whole
+    When every open connection stalls under 6 streams
+    Then every stream is complete
 
   Scenario: An order is sent again at another instance
-    A baker's connection breaks before the answer, so the order is sent again
-    to another instance. A second run would bake a second cake and charge it.
+    A caller's connection breaks before the answer, so that it sends the order
+    again, to another instance. A second execution would deliver and charge
+    the order twice.
 
-    When an order is sent at two instances at the same time
-    Then both get the same answer
+    When an order is sent to two instances at the same time
+    Then both attempts receive the same answer
     And the order ran once
 
   Scenario: The answer of an order is lost
-    The shop takes the order and its answer is lost on the way. Whether it ran
-    cannot be known, so a resend must neither run it again nor say that it
-    did not run.
+    The shop accepts the order and its answer is lost in the network. The
+    system cannot determine whether the order ran, so a retry must neither run
+    it again nor report that it did not run.
 
-    When the shop loses the answer of an order
-    Then the caller is told that the outcome is unknown
-    And a resend at another instance is told the same
+    When the shop drops the answer to an order
+    Then the caller receives the outcome unknown
+    And a retry at another instance receives the same outcome
     And the order ran once
 
   Scenario: The instance that sent an order is killed
-    The order has reached the shop when the instance dies. The caller asks
-    another instance, which must not send it a second time.
+    The order has reached the shop when the instance crashes. The caller
+    retries at another instance, which must not send the order a second time.
 
-    When the first instance is killed with an order at the shop
-    Then a resend at another instance is told that the outcome is unknown
+    When the first instance is killed while the shop runs an order
+    Then a retry at another instance receives the outcome unknown
     And the order ran once
 
   Scenario: Answers come late and crossed
-    The shop answers slowly while many orders are under way, so that answers
-    return in another order than the calls. A caller that got another one's
-    answer would see another one's cake.
+    The shop answers slowly while many orders are in flight, so that answers
+    arrive in another sequence than the requests. A caller that received
+    another caller's answer would see data that is not its own.
 
     When 12 callers order at the same time while the shop is slow
-    Then each caller gets the answer to its own order
+    Then each caller receives the answer to its own order
     And each order ran once
 
   Scenario: An upstream is withdrawn while an instance is cut off
-    The partner takes an engine back while the first instance hears from
-    nobody. That instance does not learn of it, and would send work to an
-    engine that is no longer ours for as long as the cut lasts.
-
-    When an engine is withdrawn while the first instance is cut off
-    Then the engine gets no new work after 3 seconds
-    And every stream is whole or refused with an outcome
+    The partner reclaims an engine while the first instance is partitioned
+    from the others. That instance does not receive the withdrawal, and would
+    send work to an engine that the partner no longer lends, for as long as
+    the partition lasts.
+
+    When an engine is withdrawn while the first instance is partitioned
+    Then the engine receives no new work after 3 seconds
+    And every stream is complete or refused with an outcome
--- a/currantdeal/testing/tests/scenario_world.py
+++ b/currantdeal/testing/tests/scenario_world.py
@@ -1,4 +1,7 @@
-"""What the scenarios on callers' promises share: one cluster and its state."""
+"""Provides the cluster that the scenarios of ``callers.feature`` share.
+
+All scenarios use one cluster, which is reset after each of them.
+"""
 
 import threading
 from dataclasses import dataclass, field
@@ -16,8 +19,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Noted:
-    """What the steps of one scenario noted."""
+class ScenarioRecord:
+    """Observations that the steps of a scenario pass on to later steps."""
 
     answers: list = field(default_factory=list)
     streams: list = field(default_factory=list)
@@ -25,13 +28,13 @@
 
 
 class World:
-    """A proxied cluster of three instances with engines and a shop."""
+    """A cluster of three instances, engines and a shop, with fault proxies."""
 
     def __init__(self, *, folder):
-        """Start everything and let every upstream serve."""
+        """Start all processes and admit every upstream."""
         shape = ClusterShape(instances=spread(3), proxied=True)
         self.cluster = Cluster(folder=folder, shape=shape)
-        self.names = [one.name for one in shape.instances]
+        self.names = [instance.name for instance in shape.instances]
         try:
             self._start(shape)
         except BaseException:
@@ -50,35 +53,35 @@
         self.operator(0).apply_selector(Selector(name="all"))
 
     def engine(self, name):
-        """Return the client of an engine."""
+        """Return the stand-in client of an engine."""
         return self.cluster.stand_in(name).client
 
     @property
     def shop(self):
-        """Client of the shop."""
+        """Stand-in client of the shop."""
         return self.cluster.stand_in("shop-1").client
 
     def caller(self, index):
-        """Return a caller of one instance."""
+        """Return a caller that sends to an instance."""
         instance = self.cluster.instance(self.names[index])
         return CallerClient(address=instance.advertised)
 
     def operator(self, index):
-        """Return an operator at one instance."""
+        """Return an operator that sends to an instance."""
         instance = self.cluster.instance(self.names[index])
         return OperatorCalls(address=instance.address)
 
     def held(self):
-        """Return what all engines that live hold."""
+        """Return the memory that all running engines hold."""
         return [
-            one
+            memory
             for name in ENGINES
             if self.cluster.stand_in(name).process.running
-            for one in self.engine(name).held()
+            for memory in self.engine(name).held()
         ]
 
     def reset(self):
-        """Lift every fault and restart what was killed."""
+        """Clear every fault and restart the killed processes."""
         self.cluster.heal()
         for name, stand_in in self.cluster.stand_ins.items():
             if not stand_in.process.running:
@@ -94,9 +97,9 @@
         wait_until(lambda: not self.held(), what="free engines")
 
 
-def in_background(work):
+def in_background(function):
     """Run a function on a thread and return the thread."""
-    thread = threading.Thread(target=work, daemon=True)
+    thread = threading.Thread(target=function, daemon=True)
     thread.start()
     return thread
 
--- a/currantdeal/testing/tests/test_engine.py
+++ b/currantdeal/testing/tests/test_engine.py
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def pair(start_pair):
-    """Return engines whose results outlive a driver that is held up."""
+    """Return engines whose results do not expire while the test is slow."""
     return start_pair("--kv-expiry-s", "60")
 
 
@@ -125,7 +125,7 @@
     assert EventKind.KV_EXPIRED in _kinds(prefill)
 
 
-def test_memory_in_pieces_runs_out(start_engine):
+def test_a_prefill_is_refused_without_enough_free_pieces(start_engine):
     _, engine = start_engine("p1", "--pieces-total", "2")
     with pytest.raises(RefusedError) as caught:
         _prefill(engine)
@@ -164,18 +164,18 @@
     assert prefill.held() == decode.held() == ()
 
 
-def test_open_streams_go_silent_while_new_ones_work(pair):
+def test_open_streams_stall_while_new_ones_work(pair):
     prefill, decode = pair
     _import(decode, prefill, _prefill(prefill)["kv_id"])
     decode.set_faults(slow_factor=4.0)
-    silent = _decode(decode)
-    next(silent)
+    stalled = _decode(decode)
+    next(stalled)
     decode.set_faults(silence_open_streams=1, slow_factor=1.0)
     text = "".join(chunk["text"] for chunk in _decode(decode))
     assert text == expected_output(PROMPT, 40)
 
 
-def test_an_engine_dies_in_the_stage_it_is_told(start_engine):
+def test_an_engine_crashes_in_the_configured_stage(start_engine):
     child, engine = start_engine("p1")
     engine.set_faults(die_at="prefill")
     with pytest.raises(HarnessError):
@@ -186,15 +186,15 @@
 def test_a_cancelled_prefill_frees_its_memory_at_once(start_engine):
     _, engine = start_engine("p1")
     engine.set_faults(slow_factor=1000.0)
-    ended = threading.Event()
+    cancelled = threading.Event()
 
     def run():
         with pytest.raises(RefusedError):
             _prefill(engine)
-        ended.set()
+        cancelled.set()
 
     threading.Thread(target=run, daemon=True).start()
     wait_until(lambda: engine.held(), what="a prefill")
     engine.post("/engine/cancel", {"request_id": "r1"})
-    assert ended.wait(30)
+    assert cancelled.wait(30)
     assert engine.held() == ()
--- a/currantdeal/testing/tests/test_examples.py
+++ b/currantdeal/testing/tests/test_examples.py
@@ -8,14 +8,14 @@
 
 
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
-def test_committed_examples_are_sound_and_as_generated(user, tmp_path):
+def test_committed_examples_are_valid_and_as_generated(user, tmp_path):
     write_example(user, tmp_path)
     committed = EXAMPLES / user.name
-    made = sorted(path.relative_to(tmp_path) for path in _files(tmp_path))
-    assert made == sorted(
+    generated = sorted(path.relative_to(tmp_path) for path in _files(tmp_path))
+    assert generated == sorted(
         path.relative_to(committed) for path in _files(committed)
     )
-    for path in made:
+    for path in generated:
         assert (tmp_path / path).read_bytes() == (
             committed / path
         ).read_bytes()
--- a/currantdeal/testing/tests/test_proxy.py
+++ b/currantdeal/testing/tests/test_proxy.py
@@ -8,16 +8,16 @@
 from currantdeal.testing.waiting import wait_until
 
 
-def _echo(listener):
+def _accept_echo(listener):
     while True:
         try:
             sock, _ = listener.accept()
         except OSError:
             return
-        threading.Thread(target=_echo_one, args=(sock,), daemon=True).start()
+        threading.Thread(target=_echo, args=(sock,), daemon=True).start()
 
 
-def _echo_one(sock):
+def _echo(sock):
     with sock, contextlib.suppress(ConnectionResetError):
         while data := sock.recv(1024):
             sock.sendall(data)
@@ -26,11 +26,13 @@
 @pytest.fixture
 def proxy():
     listener = socket.create_server(("127.0.0.1", 0))
-    threading.Thread(target=_echo, args=(listener,), daemon=True).start()
+    threading.Thread(
+        target=_accept_echo, args=(listener,), daemon=True
+    ).start()
     host, port = listener.getsockname()
-    made = FaultProxy(target=f"{host}:{port}")
-    yield made
-    made.close()
+    fault_proxy = FaultProxy(target=f"{host}:{port}")
+    yield fault_proxy
+    fault_proxy.close()
     listener.close()
 
 
@@ -41,7 +43,7 @@
     return sock
 
 
-def _hears(sock, data, wait_s):
+def _receives_echo(sock, data, wait_s):
     sock.sendall(data)
     sock.settimeout(wait_s)
     try:
@@ -52,25 +54,25 @@
 
 def test_bytes_pass_and_are_counted(proxy):
     with _connect(proxy) as sock:
-        assert _hears(sock, b"cake", 30)
+        assert _receives_echo(sock, b"cake", 30)
     assert proxy.bytes_to_target == proxy.bytes_to_source == 4
 
 
-def test_open_connections_go_silent_while_new_ones_work(proxy):
+def test_open_connections_stall_while_new_ones_work(proxy):
     with _connect(proxy) as old, _connect(proxy) as new:
-        assert _hears(old, b"one", 30)
+        assert _receives_echo(old, b"one", 30)
         proxy.silence_open()
-        assert not _hears(old, b"two", 0.1)
+        assert not _receives_echo(old, b"two", 0.1)
         new.close()
         with _connect(proxy) as later:
-            assert _hears(later, b"three", 30)
+            assert _receives_echo(later, b"three", 30)
 
 
 @pytest.mark.parametrize("cut", [Cut.TO_TARGET, Cut.TO_SOURCE, Cut.BOTH])
-def test_a_cut_holds_bytes_until_it_heals(proxy, cut):
+def test_a_partition_holds_bytes_until_it_heals(proxy, cut):
     with _connect(proxy) as sock:
         proxy.set_faults(LinkFaults(cut=cut))
-        assert not _hears(sock, b"late", 0.1)
+        assert not _receives_echo(sock, b"late", 0.1)
         proxy.set_faults(LinkFaults())
         sock.settimeout(30)
         assert sock.recv(100) == b"late"
@@ -78,7 +80,7 @@
 
 def test_open_connections_are_reset_and_new_ones_refused(proxy):
     with _connect(proxy) as sock:
-        assert _hears(sock, b"one", 30)
+        assert _receives_echo(sock, b"one", 30)
         proxy.reset_open()
         with pytest.raises(ConnectionResetError):
             sock.recv(1)
@@ -88,29 +90,29 @@
     wait_until(lambda: proxy.open_connections == 0, what="no connections")
 
 
-def test_an_end_passes_through(proxy):
+def test_an_end_of_stream_passes_through(proxy):
     with _connect(proxy) as sock:
-        assert _hears(sock, b"one", 30)
+        assert _receives_echo(sock, b"one", 30)
         sock.shutdown(socket.SHUT_WR)
         assert sock.recv(1) == b""
 
 
-def test_datagrams_pass_and_are_lost_while_cut():
+def test_datagrams_pass_and_are_lost_in_a_partition():
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as target,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as source,
     ):
         target.bind(("127.0.0.1", 0))
         target.settimeout(0.1)
-        made = FaultProxy(target="{}:{}".format(*target.getsockname()))
-        host, _, port = made.address.rpartition(":")
-        made.set_faults(LinkFaults(cut=Cut.BOTH))
+        fault_proxy = FaultProxy(target="{}:{}".format(*target.getsockname()))
+        host, _, port = fault_proxy.address.rpartition(":")
+        fault_proxy.set_faults(LinkFaults(cut=Cut.BOTH))
         source.sendto(b"lost", (host, int(port)))
         with pytest.raises(TimeoutError):
             target.recv(100)
-        made.set_faults(LinkFaults())
+        fault_proxy.set_faults(LinkFaults())
         target.settimeout(30)
         source.sendto(b"cake", (host, int(port)))
         assert target.recv(100) == b"cake"
-        assert made.datagram_bytes == 4
-        made.close()
+        assert fault_proxy.datagram_bytes == 4
+        fault_proxy.close()
--- a/currantdeal/testing/tests/test_service.py
+++ b/currantdeal/testing/tests/test_service.py
@@ -15,14 +15,14 @@
     child.kill()
 
 
-def test_orders_run_and_are_written_down(service):
+def test_orders_run_and_are_recorded(service):
     assert service.post("/orders", {"cake": "red velvet"})["number"] == 1
     (run,) = service.runs()
     assert run.path == "/orders"
     assert run.body == '{"cake":"red velvet"}'
 
 
-def test_a_dropped_answer_ran_and_a_refused_call_did_not(service):
+def test_an_order_runs_if_its_answer_is_dropped_but_not_if_refused(service):
     service.set_faults(drop_answers=1)
     with pytest.raises(HarnessError):
         service.post("/orders", {})
--- a/currantdeal/testing/traffic.py
+++ b/currantdeal/testing/traffic.py
@@ -1,8 +1,9 @@
-"""Callers that keep sending, and what each of them received.
+"""Generates load of all kinds of requests and records what callers received.
 
-Each caller asks which entries to use, keeps the answer as long as it may,
-and goes to the next entry when one does not answer, as the users' callers
-do.  What was received is written down; judging it is left to ``verdicts``.
+Each caller fetches the list of entries, caches it for the time that it
+allows, and fails over to the next entry when one does not answer, as the
+users' callers do.  This module only records what was received; ``verdicts``
+checks it.
 """
 
 import random
@@ -22,19 +23,19 @@
 READ_S = 15.0
 RESEND_S = 30.0
 PAUSE_S = 0.05
-REFUSED_PAUSE_S = 0.5
-"""Pause of a caller after a refusal; a polite one does not hammer."""
+BACKOFF_S = 0.5
+"""Backoff after anything but a complete answer, to avoid a retry storm."""
 
 TOKENS = 30
 MAX_UNKNOWN = 3
-"""Answers "unknown" after which a caller sends an order no more."""
+"""Number of "unknown" outcomes after which a caller stops resending."""
 
 CREATED = 201
 OK = 200
 
 
 class Kind(str, Enum):
-    """What a caller asks for."""
+    """Kinds of requests."""
 
     STREAM = "stream"
     ORDER = "order"
@@ -42,11 +43,12 @@
 
 
 class Received(str, Enum):
-    """What a caller received in the end.
+    """Result of a request, as its caller observed it.
 
-    ``UNREACHABLE`` is a connection that could not be opened: nothing was
-    sent.  ``CUT`` is one that broke or fell silent after the request was
-    sent, and ``WRONG`` an answer that is not whole or not the caller's own.
+    ``WHOLE`` is a complete and correct answer.  ``UNREACHABLE`` is a
+    connection that could not be opened: nothing was sent.  ``CUT`` is one
+    that broke or timed out after the request was sent, and ``WRONG`` an
+    answer that differs from the expected one or belongs to another caller.
     """
 
     WHOLE = "whole"
@@ -59,19 +61,19 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sent:
-    """One request and what came of it.
+class Attempt:
+    """One attempt of a request and its result.
 
     Parameters
     ----------
     name : str
-        The prompt, the idempotency key or the path; unique but for paths.
+        The prompt, the idempotency key or the path; unique except for paths.
     entry : str
-        Address it was sent to.
+        Address that it was sent to.
     began_s, ended_s : float
         Wall-clock times, in seconds since the epoch.
     final : bool
-        True when the caller does not send it again.
+        True if the caller does not retry the request.
     """
 
     kind: Kind
@@ -84,42 +86,43 @@
     final: bool = True
 
 
-class Entries:
-    """The entries one caller knows.
+class EntryAddresses:
+    """Entry addresses of one caller, in the order in which it uses them.
 
     Parameters
     ----------
-    known : tuple of str
-        Addresses to begin with.
-    chance : random.Random
-        Chooses the first one.
+    initial : tuple of str
+        Addresses that are configured at the caller.
+    rng : random.Random
+        Shuffles the initial addresses.
     pinned : bool
-        True to use the first addresses whatever the answer.
+        True to use the initial addresses only, and never fetch the list of
+        entries.
     """
 
-    def __init__(self, *, known, chance, pinned=False):
-        """Know only the first addresses."""
+    def __init__(self, *, initial, rng, pinned=False):
+        """Shuffle the initial addresses; fetch nothing yet."""
         self._pinned = pinned
-        self._known = list(known)
-        chance.shuffle(self._known)
-        self._current = list(self._known)
-        self._until_s = 0.0
+        self._initial = list(initial)
+        rng.shuffle(self._initial)
+        self._current = list(self._initial)
+        self._expires_s = 0.0
         self._pools = {}
 
-    def first(self):
-        """Return the address to use now."""
-        if not self._pinned and time.monotonic() >= self._until_s:
+    def current(self):
+        """Return the address to use, from a list that has not expired."""
+        if not self._pinned and time.monotonic() >= self._expires_s:
             self._refresh()
         return self._current[0]
 
-    def failed(self, address):
-        """Use another address from now on."""
+    def mark_failed(self, address):
+        """Move an address to the end of the list."""
         if address in self._current:
             self._current.remove(address)
             self._current.append(address)
 
     def pool(self, address):
-        """Return the connections to an address."""
+        """Return the connection pool of an address."""
         if address not in self._pools:
             self._pools[address] = urllib3.PoolManager(
                 retries=False,
@@ -137,36 +140,36 @@
                     timeout=CONNECT_S,
                 )
                 body = msgspec.json.decode(answer.data)
-                found = [each["address"] for each in body["entries"]]
+                found = [entry["address"] for entry in body["entries"]]
             except (urllib3.exceptions.HTTPError, KeyError, ValueError):
                 continue
             if found:
-                self._believe(found, body["keep_s"])
+                self._replace(found, body["keep_s"])
                 return
-        self._until_s = time.monotonic() + CONNECT_S
+        self._expires_s = time.monotonic() + CONNECT_S
 
-    def _believe(self, found, keep_s):
-        rest = [each for each in self._known if each not in found]
+    def _replace(self, found, keep_s):
+        rest = [address for address in self._initial if address not in found]
         self._current = found + rest
-        self._until_s = time.monotonic() + keep_s
+        self._expires_s = time.monotonic() + keep_s
 
 
 class CallerLoad:
-    """Some callers that send until they are told to stop.
+    """Callers that send requests until they are stopped.
 
     Parameters
     ----------
     addresses : tuple of str
-        Addresses that callers know from the start.
+        Initial addresses of each caller.
     streams, orders, browsers : int
-        Callers of each kind, each with one request at a time.
+        Number of callers of each kind, each with one request at a time.
     seed : int
-        Seed of what they choose.
+        Seed of the callers' random choices.
     service : str
         Name of the plain service.
     pinned : bool
-        True when each caller stays at the one address it is given, whatever
-        entries it would be told.
+        True to keep each caller at one address, whatever the list of
+        entries.
     """
 
     def __init__(
@@ -184,7 +187,7 @@
         self._addresses = tuple(addresses)
         self._service = service
         self._pinned = pinned
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._seed = seed
         self._sent = []
         self._lock = threading.Lock()
@@ -201,15 +204,15 @@
 
     @property
     def sent(self):
-        """Everything sent so far, in the order in which it ended."""
+        """Attempts that have ended, in the order of their end."""
         with self._lock:
             return tuple(self._sent)
 
     def count(self, kind=None, received=Received.WHOLE):
-        """Return how many requests of a kind ended in a way."""
+        """Return the number of attempts of a kind with a result."""
         return sum(
-            one.received is received and kind in (None, one.kind)
-            for one in self.sent
+            attempt.received is received and kind in (None, attempt.kind)
+            for attempt in self.sent
         )
 
     def start(self):
@@ -219,29 +222,29 @@
             thread.start()
 
     def stop(self):
-        """Send nothing more and wait for what is under way."""
+        """Stop sending and wait for the requests in flight."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
 
     def _run(self, send, number):
-        chance = random.Random(self._chance.random())
-        known = self._addresses
+        rng = random.Random(self._rng.random())
+        initial = self._addresses
         if self._pinned:
-            known = (known[number % len(known)],)
-        entries = Entries(known=known, chance=chance, pinned=self._pinned)
+            initial = (initial[number % len(initial)],)
+        entries = EntryAddresses(initial=initial, rng=rng, pinned=self._pinned)
         count = 0
         while not self._stopped.is_set():
             count += 1
             send(entries, f"{self._seed}-{number}-{count}")
-            self._stopped.wait(PAUSE_S * chance.random())
+            self._stopped.wait(PAUSE_S * rng.random())
 
-    def _note(self, **fields):
-        one = Sent(ended_s=time.time(), **fields)
+    def _record(self, **fields):
+        attempt = Attempt(ended_s=time.time(), **fields)
         with self._lock:
-            self._sent.append(one)
-        if one.final:
-            self._stopped.wait(_pause_after(one.received))
+            self._sent.append(attempt)
+        if attempt.final:
+            self._stopped.wait(_backoff_after(attempt.received))
 
     def _stream(self, entries, number):
         prompt = f"suggest a cake for {number} tokens={TOKENS}"
@@ -252,9 +255,9 @@
             "stream": True,
         }
         began_s = time.time()
-        entry = entries.first()
+        entry = entries.current()
         received, detail = _post_stream(entries, entry, body, prompt)
-        self._note(
+        self._record(
             kind=Kind.STREAM,
             name=prompt,
             entry=entry,
@@ -266,9 +269,9 @@
     def _browse(self, entries, number):
         path = f"/menu?page={number}"
         began_s = time.time()
-        entry = entries.first()
+        entry = entries.current()
         received, detail = self._call(entries, entry, "GET", path, {}, OK)
-        self._note(
+        self._record(
             kind=Kind.BROWSE,
             name=path,
             entry=entry,
@@ -279,22 +282,22 @@
 
     def _order(self, entries, number):
         key = f"order-{number}"
-        give_up_s = time.monotonic() + RESEND_S
-        unknown = 0
+        give_up_at_s = time.monotonic() + RESEND_S
+        unknown_count = 0
         final = False
         while not final:
             began_s = time.time()
-            entry = entries.first()
+            entry = entries.current()
             received, detail = self._call(
                 entries, entry, "POST", "/orders", {"Idempotency-Key": key}
             )
-            unknown += received is Received.UNKNOWN
+            unknown_count += received is Received.UNKNOWN
             final = (
                 received in (Received.WHOLE, Received.WRONG)
-                or time.monotonic() > give_up_s
-                or unknown == MAX_UNKNOWN
+                or time.monotonic() > give_up_at_s
+                or unknown_count == MAX_UNKNOWN
             )
-            self._note(
+            self._record(
                 kind=Kind.ORDER,
                 name=key,
                 entry=entry,
@@ -304,9 +307,9 @@
                 final=final,
             )
             if not final:
-                self._stopped.wait(_pause_after(received))
+                self._stopped.wait(_backoff_after(received))
 
-    def _call(self, entries, entry, method, path, headers, wanted=CREATED):
+    def _call(self, entries, entry, method, path, headers, expected=CREATED):
         key = headers.get("Idempotency-Key", "")
         url = f"http://{entry}/services/{self._service}{path}"
         try:
@@ -314,11 +317,11 @@
                 method, url, body=key or None, headers=_headers() | headers
             )
         except urllib3.exceptions.HTTPError as exc:
-            entries.failed(entry)
-            return _broken(exc)
-        if answer.status != wanted:
-            entries.failed(entry)
-            return _refused(answer.status, answer.data)
+            entries.mark_failed(entry)
+            return _classify_error(exc)
+        if answer.status != expected:
+            entries.mark_failed(entry)
+            return _classify_refusal(answer.status, answer.data)
         if key and msgspec.json.decode(answer.data)["order"] != key:
             return Received.WRONG, answer.data.decode()
         return Received.WHOLE, ""
@@ -334,24 +337,24 @@
             preload_content=False,
         )
         if answer.status != OK:
-            return _refused(answer.status, answer.data)
-        text, done = _read_text(answer)
+            return _classify_refusal(answer.status, answer.data)
+        text, done = _read_stream(answer)
     except urllib3.exceptions.HTTPError as exc:
-        entries.failed(entry)
-        return _broken(exc)
+        entries.mark_failed(entry)
+        return _classify_error(exc)
     if not done:
-        entries.failed(entry)
+        entries.mark_failed(entry)
         return Received.CUT, f"ended after {len(text)} characters"
     if text != expected_output(prompt, TOKENS):
         return Received.WRONG, text
     return Received.WHOLE, ""
 
 
-def _pause_after(received):
-    return 0.0 if received is Received.WHOLE else REFUSED_PAUSE_S
+def _backoff_after(received):
+    return 0.0 if received is Received.WHOLE else BACKOFF_S
 
 
-def _read_text(answer):
+def _read_stream(answer):
     text, done = "", False
     for line in answer:
         data = line.removeprefix(b"data: ").strip()
@@ -359,12 +362,12 @@
             done = True
         elif line.startswith(b"data: "):
             choices = msgspec.json.decode(data).get("choices", ())
-            text += "".join(one.get("text") or "" for one in choices)
+            text += "".join(choice.get("text") or "" for choice in choices)
     answer.release_conn()
     return text, done
 
 
-def _refused(status, raw):
+def _classify_refusal(status, raw):
     try:
         outcome = msgspec.json.decode(raw).get("outcome", "")
         return Received(outcome), f"{status} {raw[:300].decode()}"
@@ -372,7 +375,7 @@
         return Received.WRONG, f"{status} {raw[:300]!r}"
 
 
-def _broken(exc):
+def _classify_error(exc):
     unsent = (
         urllib3.exceptions.NewConnectionError,
         urllib3.exceptions.ConnectTimeoutError,
--- a/currantdeal/testing/verdicts.py
+++ b/currantdeal/testing/verdicts.py
@@ -1,7 +1,8 @@
-"""The promises of the system, judged from outside.
+"""Checks the guarantees of the system from the outside.
 
-Only what callers received and what the stand-ins wrote into their journals
-counts here; the system's own counters and logs do not.
+Each function returns the violations of one guarantee.  The checks use only
+what callers received and the journals of the stand-ins; the system's own
+counters and logs are not evidence.
 """
 
 from collections import Counter
@@ -11,81 +12,86 @@
 from currantdeal.testing.traffic import Kind, Received
 
 WORK = (EventKind.PREFILL, EventKind.IMPORT)
+"""Events of an engine that begins new work."""
+
 WITHDRAWAL_S = 3.0
+"""Time within which a withdrawn upstream must stop receiving work."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Violation:
-    """A promise that was not kept."""
+    """A violated guarantee and the observation that shows it."""
 
     promise: str
     detail: str
 
 
 def judge_answers(sent):
-    """Return answers that were not whole or not the caller's own."""
+    """Return answers that were incomplete, altered or another caller's."""
     return [
-        Violation(promise="whole answer to its own caller", detail=repr(one))
-        for one in sent
-        if one.received is Received.WRONG
+        Violation(
+            promise="whole answer to its own caller", detail=repr(attempt)
+        )
+        for attempt in sent
+        if attempt.received is Received.WRONG
     ]
 
 
 def judge_orders(sent, runs):
-    """Return orders that ran twice, or against what callers were told.
+    """Return orders that ran twice, or contrary to the answer.
 
     Parameters
     ----------
-    sent : sequence of Sent
-        What callers sent and received.
+    sent : sequence of Attempt
+        Attempts of all callers.
     runs : sequence of ServiceRun
         Journals of the plain services.
     """
-    count = Counter(run.key for run in runs if run.key)
-    found = [
+    run_counts = Counter(run.key for run in runs if run.key)
+    violations = [
         Violation(promise="an order runs at most once", detail=f"{key}: {n}")
-        for key, n in count.items()
+        for key, n in run_counts.items()
         if n > 1
     ]
-    for one in sent:
-        if one.kind is Kind.ORDER and one.final:
-            found += _judge_order(one, count[one.name])
-    return found
+    for attempt in sent:
+        if attempt.kind is Kind.ORDER and attempt.final:
+            violations += _judge_order(attempt, run_counts[attempt.name])
+    return violations
 
 
 def judge_refused_orders(sent, runs):
-    """Return orders that ran before their caller was told "not run".
+    """Return orders that had run when their caller received "not run".
 
-    Orders of which an earlier sending may have run are left out.
+    Orders are excluded if an earlier attempt may have run.
     """
-    began_s = {run.key: run.wall_s for run in runs if run.key}
-    doubtful = set()
-    found = []
-    for one in sorted(sent, key=lambda each: each.ended_s):
-        if one.kind is not Kind.ORDER:
+    ran_at_s = {run.key: run.wall_s for run in runs if run.key}
+    possibly_run = set()
+    violations = []
+    for attempt in sorted(sent, key=lambda each: each.ended_s):
+        if attempt.kind is not Kind.ORDER:
             continue
-        if one.received not in (Received.NOT_RUN, Received.UNREACHABLE):
-            doubtful.add(one.name)
-        ran_s = began_s.get(one.name, one.ended_s)
-        if one.name not in doubtful and ran_s < one.ended_s:
-            found.append(
-                Violation(promise='"not run" is true', detail=repr(one))
+        if attempt.received not in (Received.NOT_RUN, Received.UNREACHABLE):
+            possibly_run.add(attempt.name)
+        ran_s = ran_at_s.get(attempt.name, attempt.ended_s)
+        if attempt.name not in possibly_run and ran_s < attempt.ended_s:
+            violations.append(
+                Violation(promise='"not run" is true', detail=repr(attempt))
             )
-    return found
+    return violations
 
 
 def judge_cuts(sent, *, allowed=()):
-    """Return requests that broke off at instances that did not fail.
+    """Return requests that were interrupted at instances without a fault.
 
     Parameters
     ----------
     allowed : container of str
-        Addresses of instances that were killed or cut off.
+        Addresses of instances that were killed or partitioned.
     """
     return [
-        Violation(promise="no request is cut off", detail=repr(one))
-        for one in sent
-        if one.received is Received.CUT and one.entry not in allowed
+        Violation(promise="no request is cut off", detail=repr(attempt))
+        for attempt in sent
+        if attempt.received is Received.CUT and attempt.entry not in allowed
     ]
 
 
@@ -93,22 +99,22 @@
     """Return requests that were refused or failed."""
     refused = (Received.NOT_RUN, Received.UNKNOWN, Received.FAILED)
     return [
-        Violation(promise="nothing is refused", detail=repr(one))
-        for one in sent
-        if one.received in refused
+        Violation(promise="nothing is refused", detail=repr(attempt))
+        for attempt in sent
+        if attempt.received in refused
     ]
 
 
 def judge_withdrawal(events, *, withdrawn_s):
-    """Return work that an engine got too long after its withdrawal.
+    """Return work that an engine received too late after its withdrawal.
 
     Parameters
     ----------
     events : sequence of EngineEvent
         The engine's journal.
     withdrawn_s : float
-        When the operator was told that the withdrawal is accepted, in
-        seconds since the epoch.
+        Time at which the operator received the confirmation of the
+        withdrawal, in seconds since the epoch.
     """
     return [
         Violation(promise="no work after a withdrawal", detail=repr(event))
@@ -117,10 +123,10 @@
     ]
 
 
-def _judge_order(one, ran):
-    if one.received is Received.WHOLE and ran != 1:
-        detail = f"{one.name}: answered, but ran {ran} times"
+def _judge_order(attempt, run_count):
+    if attempt.received is Received.WHOLE and run_count != 1:
+        detail = f"{attempt.name}: answered, but ran {run_count} times"
         return [Violation(promise="an answered order ran", detail=detail)]
-    if one.received is Received.NOT_RUN and ran:
-        return [Violation(promise='"not run" is true', detail=repr(one))]
+    if attempt.received is Received.NOT_RUN and run_count:
+        return [Violation(promise='"not run" is true', detail=repr(attempt))]
     return []
--- a/currantdeal/testing/waiting.py
+++ b/currantdeal/testing/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting on conditions instead of for fixed times."""
+"""Waits until a condition holds, instead of for a fixed time."""
 
 import asyncio
 import time
@@ -10,21 +10,21 @@
 
 
 def wait_until(condition, *, what, limit_s=LIMIT_S):
-    """Return the first truthy value of a condition.
+    """Poll a condition and return its first truthy value.
 
     Parameters
     ----------
     condition : callable
-        Asked again and again.
+        Called without arguments at each poll.
     what : str
-        What is waited for, for the error.
+        Name of the awaited thing in the error message.
     limit_s : float
-        Longest wait, in seconds.
+        Timeout, in seconds.
 
     Raises
     ------
     HarnessError
-        When the limit is reached.
+        If the condition does not hold within the timeout.
 
     Examples
     --------
@@ -34,21 +34,23 @@
     """
     end_s = time.monotonic() + limit_s
     while True:
-        found = condition()
-        if found:
-            return found
+        value = condition()
+        if value:
+            return value
         if time.monotonic() >= end_s:
-            raise HarnessError(f"no {what} within {limit_s} s: {found!r}")
+            raise HarnessError(f"no {what} within {limit_s} s: {value!r}")
         time.sleep(POLL_S)
 
 
 async def eventually(condition, *, what, limit_s=LIMIT_S):
     """Wait in an event loop until a condition holds.
 
+    Takes the parameters of ``wait_until``.
+
     Raises
     ------
     HarnessError
-        When the limit is reached.
+        If the condition does not hold within the timeout.
     """
     loop = asyncio.get_running_loop()
     end_s = loop.time() + limit_s
