--- a/currantdeal/cli/__init__.py
+++ b/currantdeal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon and the operators' commands."""
+"""Processes of a deployment and the operators' command-line client."""
--- a/currantdeal/cli/causes.py
+++ b/currantdeal/cli/causes.py
@@ -1,8 +1,8 @@
-"""Why a request was late, refused or failed, from its last log line.
+"""Finds why a request was late, refused or failed, from its last log line.
 
-A request that lost its worth names the first step that took it past its
-target.  What came later is often a consequence: a caller that waited for a
-silent engine finds the memory of the others taken.
+The cause is the first step that took the request past its target.  Later
+steps are often consequences: once a caller has waited for a silent engine,
+the memory of the other engines is taken.
 """
 
 from dataclasses import dataclass
@@ -10,30 +10,34 @@
 
 from currantdeal.entry.steps import StepKind, read_step
 
-WAITED_SHARE = 0.3
-"""Share of the target above which one step's wait counts as a cause."""
+LONG_WAIT_SHARE = 0.3
+"""Share of the target from which on the wait for one step is a cause."""
 
-RETURNED_SHARE = 0.8
-"""Share of the longest patience on a route below which a caller is
-taken to have waited before, on an earlier attempt."""
+RETRY_PATIENCE_SHARE = 0.8
+"""Share of the route's longest patience below which a caller is retrying.
 
-LONG_PAUSE = 3.0
-"""Multiple of the pause target from which on a pause is a preemption.
+A retrying caller has spent the rest of its patience on an earlier attempt.
+"""
+
+PREEMPTION_PAUSE_RATIO = 3.0
+"""Multiple of the pause target above which a pause is a preemption.
 
-Another prompt read between the events stretches a pause by less.
+The prompt of another request, read between two events, makes a shorter pause.
 """
 
-_FAILURES = frozenset({StepKind.UNREACHABLE, StepKind.SILENT, StepKind.LOST})
+_FAILURE_STEPS = frozenset(
+    {StepKind.UNREACHABLE, StepKind.SILENT, StepKind.LOST}
+)
 
 
 class Cause(str, Enum):
-    """First cause of a loss."""
+    """First cause of a loss; the values are printed by ``account``."""
 
     NONE = "in time"
     LEFT = "the caller left"
     STOPPING = "this instance stopped"
     NO_VIEW = "no routes or upstreams known"
-    RETURNED = "had been refused before"
+    RETRIED = "had been refused before"
     REFUSED_AGAIN = "refused once more"
     ENGINE_SILENT = "asked an engine that did not answer"
     ENGINE_REFUSED = "an engine refused after the prompt was read"
@@ -49,26 +53,28 @@
     OTHER = "other"
 
 
-_WAITS = {
+_CAUSE_OF_WAIT = {
     StepKind.MEMORY: Cause.MEMORY,
     StepKind.PROMPT: Cause.PROMPT,
     StepKind.STREAM: Cause.FIRST_EVENT,
-} | dict.fromkeys(_FAILURES, Cause.ENGINE_SILENT)
-"""What a long wait for a step is put down to."""
+} | dict.fromkeys(_FAILURE_STEPS, Cause.ENGINE_SILENT)
+"""Cause of a long wait, by the kind of the step that ended it."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ended:
-    """The end of a request, as logged.
+class RequestEnd:
+    """The end of a request, parsed from its log line.
 
     Parameters
     ----------
     kind : str
         "generation" or "call".
     first_s : float or None
-        Time to the first output.
+        Time to the first output; None if there was none.
+    pause_s : float
+        Longest pause between two outputs.
     patience_s : float
-        Time that the caller would wait for the answer.
+        Time for which the caller would have waited for the answer.
     """
 
     at: float
@@ -86,25 +92,25 @@
 
     @property
     def is_answered(self):
-        """True when the caller got the whole answer."""
+        """True if the caller received the whole answer."""
         return self.outcome == "answered"
 
     @property
     def is_late(self):
-        """True when an answer came after its target or with a long pause."""
+        """True if the answer or one of its pauses exceeded its target."""
         first_s = self.took_s if self.first_s is None else self.first_s
         if first_s > self.target_s:
             return True
         return bool(self.pause_target_s) and self.pause_s > self.pause_target_s
 
 
-def read_ended(line):
-    """Return the ``Ended`` of a log line; None if it tells no end."""
+def parse_request_end(line):
+    """Return the ``RequestEnd`` of a log line; None for any other event."""
     fields = line.fields
     if line.event != "request-ended" or "target" not in fields:
         return None
     steps = (read_step(text) for text in fields["steps"])
-    return Ended(
+    return RequestEnd(
         at=line.at,
         route=fields["route"],
         kind="generation" if fields["prompt_tokens"] else "call",
@@ -120,73 +126,73 @@
     )
 
 
-def find_cause(ended, *, longest_patience_s):
-    """Return the ``Cause`` of what a request lost.
+def find_cause(end, *, longest_patience_s):
+    """Return the ``Cause`` of a request's loss; ``Cause.NONE`` without one.
 
     Parameters
     ----------
     longest_patience_s : float
-        Of the callers of this route.
+        Longest patience of the callers of this route, in seconds.
     """
-    returned = ended.patience_s < RETURNED_SHARE * longest_patience_s
-    if ended.outcome == "cancelled":
+    retrying = end.patience_s < RETRY_PATIENCE_SHARE * longest_patience_s
+    if end.outcome == "cancelled":
         return Cause.LEFT
-    if ended.is_answered and returned:
-        return Cause.RETURNED
-    if ended.is_answered and not ended.is_late:
+    if end.is_answered and retrying:
+        return Cause.RETRIED
+    if end.is_answered and not end.is_late:
         return Cause.NONE
-    if "stops" in ended.outcome:
+    if "stops" in end.outcome:
         return Cause.STOPPING
-    if "no configuration" in ended.outcome:
+    if "no configuration" in end.outcome:
         return Cause.NO_VIEW
-    if returned and ended.outcome.startswith("refused"):
+    if retrying and end.outcome.startswith("refused"):
         return Cause.REFUSED_AGAIN
-    return _of_generation(ended) if ended.prompt_tokens else _of_call(ended)
+    return _generation_cause(end) if end.prompt_tokens else _call_cause(end)
 
 
-def _of_generation(ended):
-    begun = ended.first_s is not None
-    if begun and (ended.first_s <= ended.target_s or not ended.is_answered):
-        return _of_pause(ended)
-    return _slowest(ended)
+def _generation_cause(end):
+    has_output = end.first_s is not None
+    if has_output and (end.first_s <= end.target_s or not end.is_answered):
+        return _pause_cause(end)
+    return _first_long_wait(end)
 
 
-def _of_pause(ended):
-    kinds = {step.kind for step in ended.steps}
-    if kinds.intersection(_FAILURES) or not ended.is_answered:
+def _pause_cause(end):
+    kinds = {step.kind for step in end.steps}
+    if kinds.intersection(_FAILURE_STEPS) or not end.is_answered:
         return Cause.ENGINE_LOST
-    if ended.pause_s > LONG_PAUSE * ended.pause_target_s:
+    if end.pause_s > PREEMPTION_PAUSE_RATIO * end.pause_target_s:
         return Cause.PREEMPTED
     return Cause.PAUSE
 
 
-def _slowest(ended):
-    """Return the first wait that took a large share of the target."""
-    enough_s = WAITED_SHARE * ended.target_s
-    before_s = 0.0
-    for step in ended.steps:
-        wait_s = step.after_s - before_s
-        before_s = step.after_s
+def _first_long_wait(end):
+    """Return the cause of the first wait that took too much of the target."""
+    long_wait_s = LONG_WAIT_SHARE * end.target_s
+    previous_s = 0.0
+    for step in end.steps:
+        wait_s = step.after_s - previous_s
+        previous_s = step.after_s
         if step.kind is StepKind.REFUSED:
             return Cause.ENGINE_REFUSED
-        if wait_s >= enough_s and step.kind in _WAITS:
-            return _WAITS[step.kind]
-    if "no memory" in ended.outcome:
+        if wait_s >= long_wait_s and step.kind in _CAUSE_OF_WAIT:
+            return _CAUSE_OF_WAIT[step.kind]
+    if "no memory" in end.outcome:
         return Cause.MEMORY
-    kinds = [step.kind for step in ended.steps]
-    if any(kind in _FAILURES for kind in kinds):
+    kinds = [step.kind for step in end.steps]
+    if any(kind in _FAILURE_STEPS for kind in kinds):
         return Cause.ENGINE_LOST
-    return Cause.FIRST_EVENT if ended.first_s is not None else Cause.OTHER
+    return Cause.FIRST_EVENT if end.first_s is not None else Cause.OTHER
 
 
-def _of_call(ended):
-    kinds = [step.kind for step in ended.steps]
-    if any(kind in _FAILURES for kind in kinds):
+def _call_cause(end):
+    kinds = [step.kind for step in end.steps]
+    if any(kind in _FAILURE_STEPS for kind in kinds):
         return Cause.UPSTREAM_LOST
     if StepKind.ERROR in kinds:
         return Cause.UPSTREAM_ERROR
-    if "no upstream" in ended.outcome:
+    if "no upstream" in end.outcome:
         return Cause.NO_VIEW
-    if ended.is_answered:
+    if end.is_answered:
         return Cause.UPSTREAM_SLOW
     return Cause.OTHER
--- a/currantdeal/cli/changes.py
+++ b/currantdeal/cli/changes.py
@@ -1,4 +1,4 @@
-"""How commands send changes and print their answers."""
+"""Sends the changes of commands and prints their answers."""
 
 import click
 
@@ -13,9 +13,9 @@
     body_class : type
         Class of the request's body.
     request_id : str
-        Id of an earlier try, or empty.
+        Id of an earlier attempt to resend, or empty for a new change.
     fields
-        Further fields of the body; ``wait_s`` among them.
+        Further fields of the body, with ``wait_s`` among them.
     """
     body = body_class(request_id=request_id or new_request_id(), **fields)
     click.echo(f"request id: {body.request_id}", err=True)
--- a/currantdeal/cli/client.py
+++ b/currantdeal/cli/client.py
@@ -1,8 +1,8 @@
 """Client of the operators' HTTP interface.
 
-An answer may get lost after a change was made.  A change therefore carries
-one request id, and the same change is sent again to the next address under
-that id; the system answers a resend with the first answer.
+An answer may get lost after a change was made.  Each change therefore has a
+request id, under which it is sent again to the next address; the system
+answers a resend with the answer of the first attempt.
 """
 
 import uuid
@@ -14,9 +14,9 @@
 
 from currantdeal.cli.errors import CommandError, ExitCode
 
-CONNECT_S = 2.0
-READ_S = 10.0
-ROUNDS = 3
+CONNECT_TIMEOUT_S = 2.0
+READ_TIMEOUT_S = 10.0
+ATTEMPTS_PER_ADDRESS = 3
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -26,9 +26,10 @@
     Parameters
     ----------
     in_force_s : float or None
-        Seconds until it was in force everywhere; None if not waited for.
+        Seconds until the change was in force everywhere; None if the request
+        did not wait for that.
     order_id : int or None
-        Number of the order, for engine orders.
+        Number of the order; None if the change is no engine order.
     """
 
     result: str
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Problem:
-    """What the interface says about a refusal."""
+    """Body of an error response, without the fields unused here."""
 
     title: str = ""
     detail: str = ""
@@ -47,25 +48,34 @@
 
 
 def new_request_id():
-    """Return a request id for one change."""
+    """Return a new request id for one change."""
     return f"cli/{uuid.uuid4().hex}"
 
 
 class OperatorClient:
-    """Sends an operator's requests to the first instance that answers.
+    """Sends an operator's requests to the first reachable instance.
+
+    An instance that answers 503 counts as unreachable.
 
     Parameters
     ----------
     addresses : tuple of str
-        ``IP:PORT`` of some instances.
+        ``IP:PORT`` of instances, in the order of preference.
     key : str
-        Operator's key; empty where the instances have no keys.
+        Operator's key; empty if the instances have no keys.
     connect_s, read_s : float
-        Longest waits for a connection and for an answer, in seconds.
+        Timeouts of a connection attempt and of an answer, in seconds.
     """
 
-    def __init__(self, *, addresses, key, connect_s=CONNECT_S, read_s=READ_S):
-        """Open no connection yet."""
+    def __init__(
+        self,
+        *,
+        addresses,
+        key,
+        connect_s=CONNECT_TIMEOUT_S,
+        read_s=READ_TIMEOUT_S,
+    ):
+        """Prepare the headers; no connection is opened yet."""
         self._addresses = addresses
         self._headers = {"Content-Type": "application/json"}
         if key:
@@ -75,36 +85,40 @@
         self._pool = urllib3.PoolManager(retries=False)
 
     def read(self, path, cls):
-        """Return the answer to a ``GET`` as a value of a class."""
+        """Return the answer to a ``GET``, decoded to a class."""
         return self._decode(self._send("GET", path, None, 0.0), cls)
 
     def change(self, method, path, body, *, wait_s=0.0):
-        """Send a change, under one request id, and return its answer."""
+        """Send a change and return its ``ChangeAnswer``.
+
+        The body holds the request id, which is the same for each attempt.
+        ``wait_s`` extends the read timeout.
+        """
         raw = msgspec.json.encode(body)
         answer = self._send(method, path, raw, wait_s)
         return self._decode(answer, ChangeAnswer)
 
     def _send(self, method, path, raw, wait_s):
-        faults = []
-        for address in self._addresses * ROUNDS:
+        failures = []
+        for address in self._addresses * ATTEMPTS_PER_ADDRESS:
             try:
-                answer = self._ask(address, method, path, raw, wait_s)
+                answer = self._send_to(address, method, path, raw, wait_s)
             except urllib3.exceptions.HTTPError as exc:
-                faults.append(f"{address}: {exc}")
+                failures.append(f"{address}: {exc}")
                 continue
             if answer.status != 503:
-                _raise_problem(answer)
+                _raise_for_status(answer)
                 return answer
-            faults.append(f"{address}: {_problem_of(answer).detail}")
+            failures.append(f"{address}: {_parse_problem(answer).detail}")
         raise CommandError(
-            "no instance answered:\n  " + "\n  ".join(dict.fromkeys(faults)),
+            "no instance answered:\n  " + "\n  ".join(dict.fromkeys(failures)),
             code=ExitCode.UNREACHABLE,
-            hint="name instances that run with --address IP:PORT (it may be "
-            "given several times); a change that was sent may still be "
-            "made: read it back before sending it again",
+            hint="give the addresses of running instances with --address "
+            "IP:PORT (it may be given several times); a change that was sent "
+            "may still be made: read it back before sending it again",
         )
 
-    def _ask(self, address, method, path, raw, wait_s):
+    def _send_to(self, address, method, path, raw, wait_s):
         timeout = urllib3.Timeout(
             connect=self._connect_s, read=self._read_s + wait_s
         )
@@ -121,38 +135,38 @@
             return msgspec.json.decode(answer.data, type=cls)
         except msgspec.MsgspecError as exc:
             raise CommandError(
-                f"the answer makes no sense: {exc}",
+                f"the answer cannot be decoded: {exc}",
                 code=ExitCode.FAILED,
                 hint="check that --address names an instance's caller "
                 "address and that both run the same release",
             ) from exc
 
 
-def path_of(*parts):
-    """Return a path below the operators' root from its parts.
+def operator_path(*parts):
+    """Return a path of the operators' interface from its quoted parts.
 
     Examples
     --------
-    >>> from currantdeal.cli.client import path_of
-    >>> path_of("selectors", "a b")
+    >>> from currantdeal.cli.client import operator_path
+    >>> operator_path("selectors", "a b")
     '/operator/selectors/a%20b'
     """
     return "/operator/" + "/".join(quote(part, safe="") for part in parts)
 
 
-def _raise_problem(answer):
+def _raise_for_status(answer):
     if answer.status < 400:
         return
-    problem = _problem_of(answer)
-    fate = _FATES.get(answer.status, _OTHER_FATE)
+    problem = _parse_problem(answer)
+    error_class = _ERROR_CLASSES.get(answer.status, _OTHER_ERROR)
     raise CommandError(
         problem.detail or problem.title or f"HTTP status {answer.status}",
-        code=fate.code,
-        hint=fate.hint,
+        code=error_class.code,
+        hint=error_class.hint,
     )
 
 
-def _problem_of(answer):
+def _parse_problem(answer):
     try:
         return msgspec.json.decode(answer.data, type=Problem)
     except msgspec.MsgspecError:
@@ -160,32 +174,32 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Fate:
+class _ErrorClass:
     code: ExitCode
     hint: str
 
 
-_WRONG_KEY = _Fate(
+_KEY_ERROR = _ErrorClass(
     code=ExitCode.WRONG_KEY,
     hint="give an operator's key in CURRANTDEAL_OPERATOR_KEY or with "
     "--key-file",
 )
-_OTHER_FATE = _Fate(
+_OTHER_ERROR = _ErrorClass(
     code=ExitCode.REFUSED,
     hint="nothing was changed; correct the command and run it again",
 )
-_FATES = {
-    401: _WRONG_KEY,
-    403: _WRONG_KEY,
-    409: _Fate(
+_ERROR_CLASSES = {
+    401: _KEY_ERROR,
+    403: _KEY_ERROR,
+    409: _ErrorClass(
         code=ExitCode.CONFLICT,
         hint="another change came first and nothing was changed; list the "
-        "present state, decide again, and name its version with "
+        "current state, decide again, and give its version with "
         "--expected-version",
     ),
-    504: _Fate(
+    504: _ErrorClass(
         code=ExitCode.NOT_IN_FORCE,
         hint="the change is accepted; see 'currantdeal status' for the "
-        "instances that do not have it yet",
+        "instances at an earlier version",
     ),
 }
--- a/currantdeal/cli/control_process.py
+++ b/currantdeal/cli/control_process.py
@@ -1,4 +1,4 @@
-"""Wiring of a control process."""
+"""Builds and runs a control process: a Raft replica and its services."""
 
 import asyncio
 import random
@@ -12,13 +12,13 @@
 from currantdeal.adapters.metrics import Metrics
 from currantdeal.cli.process import (
     LoopDelay,
-    MetricsPage,
+    MetricsEndpoint,
     SettingsFile,
-    every,
-    on_signals,
+    call_periodically,
+    install_signal_handlers,
 )
 from currantdeal.consensus import MESSAGE_CODEC
-from currantdeal.consensus import NodeSettings as LogSettings
+from currantdeal.consensus import NodeSettings as RaftSettings
 from currantdeal.control.config_access import ConfigAccess
 from currantdeal.control.crash_ledger import CrashLedger
 from currantdeal.control.crash_store import CrashStore
@@ -38,27 +38,31 @@
 from currantdeal.platform.control import PlatformControl
 from currantdeal.policy.shared_load import LOAD_INTERVAL_S
 
-LOG_HEARTBEAT_S = 0.1
+RAFT_HEARTBEAT_S = 0.1
 ELECTION_S = 0.4
-"""Four missed heartbeats; thirty times the delay between regions.
+"""Shortest silence of the leader before an election, in seconds.
 
-An election is what entries wait for after all processes were killed.  A
-pre-vote comes first, so that a leader that is merely slow is not deposed.
+It is four missed heartbeats and thirty times the delay between regions.
+After a kill of all processes the entries wait for an election.  A pre-vote
+precedes each election, so that a leader that is only slow is not deposed.
 """
 
 FIRST_ELECTION_S = 0.1
-"""The same for a replica that has not heard a leader since its start.
+"""The same for a replica that has had no leader since its start.
 
-After all processes were killed there is none to wait for, and callers are
-refused until one is elected.  Where there is one, the others hear it and
-refuse the pre-vote.
+After a kill of all processes there is no leader to wait for, and callers are
+refused until one is elected.  If there is a leader, the other replicas
+receive its heartbeats and refuse the pre-vote.
 """
 
 CRASHES_FILE = "crashes"
-"""Name of the file in the data folder that holds the crash book."""
+"""Name of the file in the data folder that holds the crash ledger."""
 
-HAND_OVER_S = 0.6
-"""Shortest time from the request to stop until the end."""
+LEADER_TRANSFER_S = 0.6
+"""Minimum time between the stop request and the exit, in seconds.
+
+It is the time for the transfer of leadership to another replica.
+"""
 
 _log = structlog.get_logger(__name__)
 
@@ -69,23 +73,23 @@
     Parameters
     ----------
     settings : NodeSettings
-        What the process started with.
+        Settings at the start of the process.
     path : str
-        The file that they came from.
+        Path of the file that they were read from.
     """
 
     def __init__(self, *, settings, path):
-        """Build the parts; nothing listens before ``run``."""
+        """Build the parts; ``run`` starts them and listens."""
         self._file = SettingsFile(settings=settings, path=path)
-        self._me = settings.peer_address
+        self._own_address = settings.peer_address
         self._links = {}
         self._stopping = None
         self._metrics = Metrics()
         self._replica = Replica(
-            me=self._me,
+            me=self._own_address,
             folder=DataFolder(path=settings.data_folder),
-            node_settings=LogSettings(
-                heartbeat_s=LOG_HEARTBEAT_S,
+            node_settings=RaftSettings(
+                heartbeat_s=RAFT_HEARTBEAT_S,
                 election_s=ELECTION_S,
                 first_election_s=FIRST_ELECTION_S,
             ),
@@ -95,7 +99,7 @@
             on_state=self._on_state,
         )
         self._membership = Membership(
-            me=self._me,
+            me=self._own_address,
             replica=self._replica,
             links=self._link,
             first_set=lambda: self._file.current.control_peers,
@@ -104,7 +108,7 @@
         dialect = PlatformControl()
         exchange = RecordExchange(
             me=ControlPlace(
-                address=self._me, data_center=settings.data_center
+                address=self._own_address, data_center=settings.data_center
             ),
             control=lambda: self._membership.control_addresses,
             voters=lambda: self._membership.voter_addresses,
@@ -128,7 +132,7 @@
             replica=self._replica,
             membership=self._membership,
             config=ConfigAccess(
-                replica=self._replica, links=self._link, me=self._me
+                replica=self._replica, links=self._link, me=self._own_address
             ),
             exchange=exchange,
             demand=demand,
@@ -148,14 +152,16 @@
         )
 
     async def run(self):
-        """Run until told to stop."""
+        """Run until SIGTERM or SIGINT, then transfer leadership and leave."""
         settings = self._file.current
         self._stopping = asyncio.Event()
-        on_signals(stop=self._stopping.set, reload=self._file.reload)
+        install_signal_handlers(
+            stop=self._stopping.set, reload=self._file.reload
+        )
         _log.info(
             "started",
             role="control",
-            address=self._me,
+            address=self._own_address,
             control=settings.control_addresses,
             term=self._replica.node.term,
             version=self._replica.state.version,
@@ -166,18 +172,22 @@
         self._service.on_state(self._replica.state)
         self._crashes.load(self._crash_store.load())
         await self._listen(settings)
-        page = MetricsPage(metrics=self._metrics, refresh=self._set_gauges)
-        await page.start(settings.listen.metrics)
-        delay = LoopDelay(metrics=self._metrics)
+        metrics_endpoint = MetricsEndpoint(
+            metrics=self._metrics, refresh=self._set_gauges
+        )
+        await metrics_endpoint.start(settings.listen.metrics)
+        loop_delay = LoopDelay(metrics=self._metrics)
         tasks = [
-            asyncio.ensure_future(delay.run()),
+            asyncio.ensure_future(loop_delay.run()),
             asyncio.ensure_future(self._replica.run()),
             asyncio.ensure_future(self._file.watch()),
-            asyncio.ensure_future(every(HEARTBEAT_S, self._service.beat)),
             asyncio.ensure_future(
-                every(LOAD_INTERVAL_S, self._service.tell_loads)
+                call_periodically(HEARTBEAT_S, self._service.beat)
+            ),
+            asyncio.ensure_future(
+                call_periodically(LOAD_INTERVAL_S, self._service.tell_loads)
             ),
-            asyncio.ensure_future(self._join()),
+            asyncio.ensure_future(self._step_membership()),
             asyncio.ensure_future(self._crash_store.run()),
             asyncio.ensure_future(self._orders.run()),
         ]
@@ -190,7 +200,7 @@
         _log.info("stopping", leads=self._replica.leads)
         self._replica.node.transfer(time.monotonic())
         await asyncio.gather(
-            asyncio.sleep(HAND_OVER_S), self._membership.leave()
+            asyncio.sleep(LEADER_TRANSFER_S), self._membership.leave()
         )
         _log.info("stopped")
 
@@ -228,7 +238,7 @@
         for name, value in self._service.sizes.items():
             self._metrics.set(name, value)
 
-    async def _join(self):
+    async def _step_membership(self):
         while True:
             await asyncio.sleep(JOIN_INTERVAL_S)
             await self._membership.step()
@@ -240,12 +250,12 @@
         by_replica = defaultdict(list)
         for message in messages:
             by_replica[message.to].append(MESSAGE_CODEC.encode(message))
-        for replica, raw in by_replica.items():
-            self._link(replica).notify(RaftNotice(messages=tuple(raw)))
+        for replica, encoded in by_replica.items():
+            self._link(replica).notify(RaftNotice(messages=tuple(encoded)))
 
     def _link(self, address):
-        found = self._links.get(address)
-        if found is None:
-            found = PeerLink(address=address)
-            self._links[address] = found
-        return found
+        link = self._links.get(address)
+        if link is None:
+            link = PeerLink(address=address)
+            self._links[address] = link
+        return link
--- a/currantdeal/cli/daemon.py
+++ b/currantdeal/cli/daemon.py
@@ -1,7 +1,8 @@
-"""One instance: what ``currantdeal serve`` puts together and runs.
+"""Builds, starts and stops one instance of ``currantdeal serve``.
 
-``Daemon`` is built in small steps, one for each part; what starts and stops
-is a ``Runner``, so that another part is one more entry in a list.
+``Daemon`` builds the HTTP endpoints and the drain over the given ``Ports``.
+Each part behind the ports that has to be started and stopped is a ``Runner``,
+so that a further part needs only one more entry in a list.
 
 See Also
 --------
@@ -29,23 +30,23 @@
 from currantdeal.cli.serving import build_serving
 from currantdeal.ports import HomesPort, MembersPort, StatePort
 
-THREADS_KEPT_SHARE = 8
-THREADS_KEPT = 4
-"""Threads kept for short answers: an eighth of all, at least four."""
+RESERVED_THREADS_DIVISOR = 8
+MIN_RESERVED_THREADS = 4
+"""Threads reserved for short answers: an eighth of all, at least four."""
 
 _log = structlog.get_logger(__name__)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Runner:
-    """Something that runs beside the HTTP server.
+    """A part of the instance that runs beside the HTTP server.
 
     Parameters
     ----------
     name : str
-        Shown in the log when it fails to stop.
+        Name in the log line of a failed stop.
     start, stop : callable
-        Called once each; parts stop in the reverse order of their start.
+        Called once each; runners stop in the reverse order of their start.
     """
 
     name: str
@@ -55,14 +56,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ports:
-    """The ports of an instance and what runs behind them.
+    """The ports of an instance and the runners behind them.
 
     Parameters
     ----------
     runners : tuple of Runner
-        Started before callers are served.
+        Started in this order, before callers are served.
     hand_over : tuple of callable
-        Called at the end of a drain, when nothing is served any more.
+        Handovers to other instances; called in this order at the end of a
+        drain, when no request is served any more.
     """
 
     state: StatePort
@@ -73,22 +75,22 @@
 
 
 class Daemon:
-    """One instance.
+    """One instance: its listener, its endpoints, its runners and its drain.
 
     Parameters
     ----------
     settings : Settings
-        Of this instance.
+        Settings of this instance.
     ports : Ports
         Replicated state, homes and membership.
     clock : Clock
-        Time.
+        Clock of the services and endpoints.
     metrics : Metrics
-        Counters of the whole instance.
+        Registry of the whole instance.
     """
 
     def __init__(self, *, settings, ports, clock, metrics):
-        """Bind the listener; nothing runs before ``start``."""
+        """Build all parts and bind the listener; ``start`` runs them."""
         self._settings = settings
         self._ports = ports
         self._clock = clock
@@ -101,7 +103,7 @@
             services=HttpServices(connections=connections),
             clock=clock,
             metrics=metrics,
-            limit=_limit_of(settings.threads),
+            limit=_max_concurrent_requests(settings.threads),
         )
         self._keys = KeyRing(keys=settings.keys)
         self._http = self._build_http()
@@ -109,32 +111,34 @@
 
     @property
     def caller_address(self):
-        """``IP:PORT`` that callers are served on."""
+        """``IP:PORT`` at which callers are served."""
         host, _, _ = self._settings.caller_address.rpartition(":")
         return f"{host}:{self._http.port}"
 
     def start(self):
-        """Serve callers once everything behind the ports runs."""
+        """Start the runners, then the drain, then serve callers."""
         for runner in self._ports.runners:
             runner.start()
         self._serving.hangups.start()
         self._drain.start()
         self._http.start()
         if self._keys.is_open:
-            _log.warning("no keys in the settings: loopback addresses only")
+            _log.warning(
+                "no keys in the settings: only loopback addresses are served"
+            )
         _log.info("serving", address=self.caller_address)
 
     def request_stop(self):
-        """Begin the graceful shutdown; returns at once."""
+        """Begin the graceful shutdown; return at once."""
         self._drain.begin()
 
     def wait(self):
-        """Return once the shutdown has ended."""
+        """Wait for the end of the graceful shutdown, then stop all parts."""
         self._drain.wait()
         self.stop()
 
     def stop(self):
-        """Stop at once; ``request_stop`` is the graceful way."""
+        """Stop all parts at once; ``request_stop`` stops gracefully."""
         self._drain.stop()
         self._serving.hangups.stop()
         self._http.stop()
@@ -237,6 +241,6 @@
         )
 
 
-def _limit_of(threads):
-    kept = max(THREADS_KEPT, threads // THREADS_KEPT_SHARE)
-    return max(1, threads - kept)
+def _max_concurrent_requests(threads):
+    reserved = max(MIN_RESERVED_THREADS, threads // RESERVED_THREADS_DIVISOR)
+    return max(1, threads - reserved)
--- a/currantdeal/cli/drain.py
+++ b/currantdeal/cli/drain.py
@@ -1,8 +1,8 @@
 """Graceful shutdown of one instance.
 
-The instance leaves the list of entries at once, serves whatever still
-arrives for as long as callers may keep the list, finishes what it has begun,
-hands over what it keeps for others, and ends.
+The instance is removed from the list of entries at once.  It serves requests
+that still arrive for as long as callers may cache that list, finishes the
+requests in flight, hands its homes and its leadership over, and ends.
 """
 
 import threading
@@ -13,109 +13,113 @@
 from currantdeal.core import CurrantdealError, StateUnavailableError
 from currantdeal.state import Origin, SetDraining
 
-LOOK_S = 0.2
-IDLE_SLICE_S = 1.0
-CLEAN_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.2
+IDLE_WAIT_SLICE_S = 1.0
+CLEANUP_TIMEOUT_S = 5.0
 SEND_TIMEOUT_S = 10.0
 CALLS_TIMEOUT_S = 40.0
-"""Longest time after its caller's deadline that a claimed call may run on."""
+"""Longest time that a claimed call may run after its caller's deadline."""
 
 PROPOSE_TIMEOUT_S = 2.0
 IN_FORCE_TIMEOUT_S = 5.0
-"""A little more than two leases, after which everybody has the mark."""
+"""A little more than two leases, after which every instance has the change."""
 
 
 _log = structlog.get_logger(__name__)
 
 
 class Drain:
-    """Watches for the wish to stop, and stops without cutting anything off.
+    """Drains the instance on a stop request, without cutting requests off.
+
+    A stop is requested by ``begin`` or by an operator, whose request is a
+    draining flag in the replicated state.
 
     Parameters
     ----------
     instance : InstanceId
         This instance.
     ports : Ports
-        State, members and what to hand over.
+        Replicated state, membership and the handovers.
     serving : Serving
-        What has to finish.
+        Serving layer whose requests have to finish.
     http : HttpServer
-        Listener to close in the end.
+        Server whose listener is closed after that.
     keep_s : float
-        How long callers may keep the list of entries, in seconds.
+        Time for which callers may cache the list of entries, in seconds.
     clock : Clock
-        Dates changes.
+        Clock for the timestamps of changes.
     """
 
     def __init__(self, *, instance, ports, serving, http, keep_s, clock):
-        """Wish for nothing."""
+        """Start without a stop request."""
         self._instance = instance
         self._ports = ports
         self._serving = serving
         self._http = http
         self._keep_s = keep_s
         self._clock = clock
-        self._wanted = threading.Event()
+        self._requested = threading.Event()
         self._ended = threading.Event()
         self._stopping = threading.Event()
 
     @property
     def draining(self):
         """True once the shutdown has begun."""
-        return self._wanted.is_set()
+        return self._requested.is_set()
 
     def start(self):
-        """Watch for the wish on threads of its own."""
-        for target in (self._watch, self._run):
+        """Wait for a stop request, on two threads."""
+        for target in (self._watch, self._drain):
             threading.Thread(target=target, name="drain", daemon=True).start()
 
     def begin(self):
-        """Wish for the shutdown; returns at once."""
-        self._wanted.set()
+        """Request the shutdown; return at once."""
+        self._requested.set()
 
     def wait(self):
-        """Return once nothing is served any more."""
-        # Python runs a signal's handler in the main thread, which waits
-        # here, but the system may give the signal to any thread.  Waiting
-        # without an end, this one would not wake for it, and SIGTERM would
-        # do nothing until the service manager kills the process.
-        while not self._ended.wait(LOOK_S):
+        """Return once the drain has ended."""
+        # Python runs a signal handler in the main thread, which waits here,
+        # but the system may deliver the signal to any thread.  Without a
+        # timeout this wait would not return for it, and SIGTERM would have
+        # no effect until the service manager kills the process.
+        while not self._ended.wait(POLL_INTERVAL_S):
             pass
 
     def stop(self):
-        """Watch no more."""
+        """Stop the threads; ends a drain in progress early."""
         self._stopping.set()
 
     def _watch(self):
-        # An instance that was drained and then started again would drain at
-        # once; so the mark of the last time is removed before it is heeded.
-        while not self._clear_mark():
-            if self._stopping.wait(LOOK_S):
+        # The flag of the previous drain is removed before the flag is polled.
+        # Otherwise an instance that is started again would drain at once.
+        while not self._clear_draining_flag():
+            if self._stopping.wait(POLL_INTERVAL_S):
                 return
-        self._become_ready()
-        while not self._stopping.wait(LOOK_S):
+        self._announce_ready()
+        while not self._stopping.wait(POLL_INTERVAL_S):
             self._ports.members.set_load(self._serving.in_flight.load)
             if self._instance in self._ports.state.view().draining:
                 self.begin()
 
-    def _become_ready(self):
+    def _announce_ready(self):
         while self._ports.state.lease_remaining_s() <= 0:
-            if self._stopping.wait(LOOK_S):
+            if self._stopping.wait(POLL_INTERVAL_S):
                 return
         self._ports.members.set_ready()
         if self.draining:
             self._ports.members.set_draining()
 
-    def _clear_mark(self):
+    def _clear_draining_flag(self):
         try:
             self._ports.state.propose(
-                self._mark(draining=False), timeout_s=PROPOSE_TIMEOUT_S
+                self._draining_command(draining=False),
+                timeout_s=PROPOSE_TIMEOUT_S,
             )
         except StateUnavailableError:
             return False
         return True
 
-    def _mark(self, *, draining):
+    def _draining_command(self, *, draining):
         return SetDraining(
             origin=Origin(
                 request_id=f"drain/{uuid.uuid4().hex}",
@@ -127,40 +131,41 @@
             draining=draining,
         )
 
-    def _run(self):
-        self._wanted.wait()
+    def _drain(self):
+        self._requested.wait()
         _log.info("draining", requests=self._serving.in_flight.count)
         self._ports.members.set_draining()
         self._http.end_connections()
-        self._leave_entries()
+        self._set_draining_flag()
         self._stopping.wait(self._keep_s)
         self._finish_requests()
         self._http.stop_accepting()
         self._finish_requests()
         self._serving.calls.wait_idle(timeout_s=CALLS_TIMEOUT_S)
         self._http.wait_quiet(timeout_s=SEND_TIMEOUT_S)
-        self._serving.cleaner.wait_idle(timeout_s=CLEAN_TIMEOUT_S)
+        self._serving.cleaner.wait_idle(timeout_s=CLEANUP_TIMEOUT_S)
         self._hand_over()
         _log.info("drained")
         self._ended.set()
 
-    def _leave_entries(self):
-        # Others go on telling callers of this instance until they have
-        # heard of the stop.  If the time for which such an answer may be
-        # kept were counted from here, callers who were told last would find
+    def _set_draining_flag(self):
+        # Other instances list this one as an entry until they have received
+        # the change.  If the time for which callers may cache the list were
+        # counted from here, callers that received the list last would find
         # the listener closed and their requests reset.
         state = self._ports.state
         try:
             result = state.propose(
-                self._mark(draining=True), timeout_s=PROPOSE_TIMEOUT_S
+                self._draining_command(draining=True),
+                timeout_s=PROPOSE_TIMEOUT_S,
             )
             state.wait_in_force(result.version, timeout_s=IN_FORCE_TIMEOUT_S)
         except StateUnavailableError:
-            _log.warning("the others may not know of the stop yet")
+            _log.warning("draining flag not confirmed in force everywhere")
 
     def _finish_requests(self):
         in_flight = self._serving.in_flight
-        while not in_flight.wait_idle(timeout_s=IDLE_SLICE_S):
+        while not in_flight.wait_idle(timeout_s=IDLE_WAIT_SLICE_S):
             if self._stopping.is_set():
                 return
 
@@ -169,4 +174,4 @@
             try:
                 hand_over()
             except CurrantdealError:
-                _log.exception("hand-over failed; others will take over")
+                _log.exception("handover failed; other instances take over")
--- a/currantdeal/cli/early_signals.py
+++ b/currantdeal/cli/early_signals.py
@@ -1,11 +1,10 @@
-"""Keeps a process alive that is told to reload while it starts.
+"""Ignores SIGHUP from its import on, until the process installs a handler.
 
-Importing this module ignores SIGHUP until the process handles it.  Python's
-default ends the process, and the imports of a program take a third of a
-second, on a busy machine seconds: a process that was told of changed settings
-in that time would be gone without a line in its log.  The signal may be
-ignored safely, since the settings are read after the imports and their file
-is looked at again every two seconds.
+The default action of SIGHUP ends the process.  The imports of a program take
+a third of a second, and seconds on a busy machine; a process that received a
+reload signal in that time would exit without a line in its log.  Ignoring the
+signal loses no change of the settings: they are read after the imports, and
+their file is checked again every two seconds.
 """
 
 import signal
--- a/currantdeal/cli/entry_process.py
+++ b/currantdeal/cli/entry_process.py
@@ -1,4 +1,4 @@
-"""Wiring of an entry process."""
+"""Builds and runs an entry process, which serves callers."""
 
 import asyncio
 import random
@@ -9,10 +9,10 @@
 from currantdeal.adapters.metrics import Metrics
 from currantdeal.cli.process import (
     LoopDelay,
-    MetricsPage,
+    MetricsEndpoint,
     SettingsFile,
-    every,
-    on_signals,
+    call_periodically,
+    install_signal_handlers,
 )
 from currantdeal.entry.context import BudgetBounds, EntryContext
 from currantdeal.entry.service import EntryService
@@ -28,36 +28,38 @@
 from currantdeal.registry import EntryRecord
 
 REFUSE_STREAMS_AFTER_S = 2.5
-"""Time after the request to stop from which no stream is begun.
+"""Seconds after the stop request from which new streams are refused.
 
-A stream lasts three to four seconds, and the process is killed after eight.
+A stream lasts three to four seconds, and the platform kills the process eight
+seconds after the stop request.
 """
 
 STOP_ACCEPTING_AFTER_S = 6.0
-"""Time after the request to stop from which no connection is accepted.
+"""Seconds after the stop request from which no connection is accepted.
 
-Callers keep the directory's answer for four seconds, a few for longer.
+Most callers cache the answer of the directory for four seconds, a few for
+longer.
 """
 
-LEAVE_BEFORE_KILL_S = 0.4
-"""Time before the kill at which the process ends by itself."""
+EXIT_MARGIN_S = 0.4
+"""Seconds between the exit of the process and its kill by the platform."""
 
 _log = structlog.get_logger(__name__)
 
 
 class EntryProcess:
-    """One entry.
+    """One entry instance.
 
     Parameters
     ----------
     settings : NodeSettings
-        What the process started with.
+        Settings at the start of the process.
     path : str
-        The file that they came from.
+        Path of the file that they were read from.
     """
 
     def __init__(self, *, settings, path):
-        """Build the parts; nothing listens before ``run``."""
+        """Build the parts; ``run`` starts them and listens."""
         self._file = SettingsFile(settings=settings, path=path)
         self._started_ms = int(time.time() * 1_000)
         self._sequence = 0
@@ -101,14 +103,14 @@
         self._server = HttpServer(
             handler=self._service.handle,
             limits=lambda: self._view.limits,
-            on_refused=self._note_malformed,
+            on_refused=self._record_malformed,
         )
 
     async def run(self):
-        """Run until told to stop and drained."""
+        """Run until SIGTERM or SIGINT, then drain and return."""
         settings = self._file.current
         stopping = asyncio.Event()
-        on_signals(stop=stopping.set, reload=self._file.reload)
+        install_signal_handlers(stop=stopping.set, reload=self._file.reload)
         _log.info(
             "started",
             role="entry",
@@ -116,16 +118,20 @@
             control=settings.control_addresses,
         )
         await self._server.start(*split_address(settings.listen.callers))
-        side = HttpServer(handler=self._answer_side)
-        await side.start(*split_address(settings.listen.readiness))
-        page = MetricsPage(metrics=self._metrics, refresh=self._set_gauges)
-        await page.start(settings.listen.metrics)
-        delay = LoopDelay(metrics=self._metrics)
+        readiness_server = HttpServer(handler=self._answer_readiness)
+        await readiness_server.start(*split_address(settings.listen.readiness))
+        metrics_endpoint = MetricsEndpoint(
+            metrics=self._metrics, refresh=self._set_gauges
+        )
+        await metrics_endpoint.start(settings.listen.metrics)
+        loop_delay = LoopDelay(metrics=self._metrics)
         tasks = [
-            asyncio.ensure_future(delay.run()),
+            asyncio.ensure_future(loop_delay.run()),
             asyncio.ensure_future(self._subscription.run()),
             asyncio.ensure_future(
-                every(LOAD_INTERVAL_S, self._subscription.tell_load)
+                call_periodically(
+                    LOAD_INTERVAL_S, self._subscription.tell_load
+                )
             ),
             asyncio.ensure_future(self._file.watch()),
         ]
@@ -156,10 +162,14 @@
         )
 
     async def _drain(self):
-        """Stop without cutting a request that can still be finished."""
+        """Stop in stages, so that requests in progress finish before the kill.
+
+        Streams are refused first, then connections.  Requests that are still
+        in progress shortly before the kill are cut off.
+        """
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        ends_s = began_s + self._bounds.grace_s - LEAVE_BEFORE_KILL_S
+        stop_s = loop.time()
+        exit_s = stop_s + self._bounds.grace_s - EXIT_MARGIN_S
         self._ready = False
         self._server.closing = True
         self._subscription.announce()
@@ -169,7 +179,7 @@
         await asyncio.sleep(STOP_ACCEPTING_AFTER_S - REFUSE_STREAMS_AFTER_S)
         self._server.stop_listening()
         self._server.close_idle()
-        while self._server.busy and loop.time() < ends_s:
+        while self._server.busy and loop.time() < exit_s:
             await asyncio.sleep(0.05)
 
     def _set_gauges(self):
@@ -191,11 +201,11 @@
                 service=service.name,
             )
 
-    async def _answer_side(self, request, responder):
+    async def _answer_readiness(self, request, responder):
         status = 200 if self._is_ready else 503
         responder.answer(status, (), b"")
 
-    def _note_malformed(self, status, reason, detail):
+    def _record_malformed(self, status, reason, detail):
         self._metrics.add("rejected_total", status=str(status))
         _log.info(
             "request-malformed", status=status, why=reason, detail=detail
--- a/currantdeal/cli/errors.py
+++ b/currantdeal/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line, and the exit codes that scripts can use."""
+"""Errors of the command line and the exit codes that scripts can check."""
 
 from enum import IntEnum
 
@@ -10,7 +10,7 @@
 class ExitCode(IntEnum):
     """Exit codes of every command.
 
-    ``USAGE`` is click's own for a wrong command line.
+    ``USAGE`` is also the code with which click rejects a command line.
     """
 
     OK = 0
@@ -25,7 +25,7 @@
 
 
 class CommandError(CurrantdealError, click.ClickException):
-    """A command failed; tells what to do next.
+    """A failed command, with a hint on what to do next.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, message, *, code, hint=""):
-        """Keep the message, the exit code and the hint."""
+        """Store the message, the exit code and the hint."""
         click.ClickException.__init__(self, message)
         self.exit_code = int(code)
         self.hint = hint
--- a/currantdeal/cli/explain.py
+++ b/currantdeal/cli/explain.py
@@ -1,8 +1,8 @@
-"""The command ``explain``: from a request's id to what happened to it."""
+"""Command ``explain``: prints the log lines that explain one request."""
 
 import click
 
-from currantdeal.cli.story import RequestStory, tell
+from currantdeal.cli.story import RequestHistory, format_line
 
 EXIT_NOT_FOUND = 1
 
@@ -11,27 +11,27 @@
 @click.argument("request_id")
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True))
 def explain(request_id, files):
-    """Tell the story of a request from the log files of all processes.
+    """Explain a request from the log files of all processes.
 
-    Exits with 1 if no file mentions the request.
+    Exits with 1 if no file has a line of the request.
     """
-    story = RequestStory(request=request_id)
-    for text in _texts(files):
-        story.read_own(text)
-    if not story.found:
-        click.echo(f"no line names request {request_id}", err=True)
+    history = RequestHistory(request=request_id)
+    for text in _read_lines(files):
+        history.add_request_line(text)
+    if not history.found:
+        click.echo(f"no log line of request {request_id}", err=True)
         raise SystemExit(EXIT_NOT_FOUND)
-    for text in _texts(files):
-        story.read_around(text)
-    lines = story.lines
+    for text in _read_lines(files):
+        history.add_context_line(text)
+    lines = history.lines
     for line in lines:
-        for text in tell(line, lines[0].at):
+        for text in format_line(line, lines[0].at):
             click.echo(text)
-    if story.left_out:
-        click.echo(f"{story.left_out} more lines were left out")
+    if history.omitted:
+        click.echo(f"{history.omitted} more lines were left out")
 
 
-def _texts(files):
+def _read_lines(files):
     for name in files:
         with open(name, encoding="utf-8", errors="replace") as file:
             yield from file
--- a/currantdeal/cli/main.py
+++ b/currantdeal/cli/main.py
@@ -1,6 +1,6 @@
-"""The program ``currantdeal``: daemon and operators' client.
+"""Command ``currantdeal``: the daemon and the operators' client.
 
-Shell completion is printed by, for example,
+The shell completion script is printed by, for example,
 ``_CURRANTDEAL_COMPLETE=bash_source currantdeal``.
 """
 
--- a/currantdeal/cli/node.py
+++ b/currantdeal/cli/node.py
@@ -1,13 +1,13 @@
-"""The programs of a deployment: ``entry`` and ``control``.
+"""Starts an ``entry`` or ``control`` process of a deployment.
 
-Usage: ``python3 -m currantdeal.cli.node entry|control [SETTINGS]``.  The
-settings file is named by the second argument or by the environment.
+Usage: ``python3 -m currantdeal.cli.node entry|control [SETTINGS]``.  The path
+of the settings file is the second argument or comes from the environment.
 
-This module wires the parts together; it is the only one outside
-``currantdeal.platform`` that knows of it.
+Outside ``currantdeal.platform`` and the tests, only this module and the two
+process modules that it imports use that package.
 """
 
-# First, for what it does when it is imported.
+# Imported first: it ignores SIGHUP while the other imports run.
 import currantdeal.cli.early_signals  # noqa: F401, I001
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 def main(arguments=None):
-    """Run one process until it is told to stop."""
+    """Run one process until SIGTERM or SIGINT; return the exit status."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if not arguments or arguments[0] not in ("entry", "control"):
         sys.stderr.write("usage: node entry|control [SETTINGS]\n")
@@ -36,15 +36,15 @@
         sys.stderr.write(f"settings: {exc}\n")
         return EXIT_SETTINGS
     writer = configure_node_logs(instance=settings.instance)
-    process = _process(arguments[0], settings, path)
+    process = _build_process(arguments[0], settings, path)
     asyncio.run(process.run())
     writer.flush()
     return 0
 
 
-def _process(role, settings, path):
-    # Imported here, because either process starts faster without the
-    # other's parts and memory is paid for.
+def _build_process(role, settings, path):
+    # The imports are local because a process starts faster and takes less
+    # memory, which is paid for, without the modules of the other role.
     if role == "entry":
         from currantdeal.cli.entry_process import EntryProcess
 
--- a/currantdeal/cli/node_status.py
+++ b/currantdeal/cli/node_status.py
@@ -1,7 +1,7 @@
-"""The command ``nodes``: what entry and control processes believe now.
+"""Command ``nodes``: shows the current view of entry and control processes.
 
-It reads their metrics, so that it needs neither a key nor the control
-processes to be up.
+It reads their metrics, so that it needs no key and also works while the
+control processes are down.
 """
 
 import re
@@ -30,13 +30,13 @@
     ...              'currantdeal_upstreams{service="b"} 3\n')
     {'upstreams': 5.0}
     """
-    found = {}
+    totals = {}
     for line in text.splitlines():
         sample = _SAMPLE.match(line)
         if sample:
             name, _, value = sample.groups()
-            found[name] = found.get(name, 0.0) + float(value)
-    return found
+            totals[name] = totals.get(name, 0.0) + float(value)
+    return totals
 
 
 @click.command()
@@ -48,13 +48,13 @@
     Exits with 1 if one of them cannot be reached.
     """
     http = urllib3.PoolManager(timeout=TIMEOUT_S, retries=False)
-    rows = [_row(http, address) for address in addresses]
+    rows = [_fetch_row(http, address) for address in addresses]
     print_table(_HEADINGS, rows)
     if any(row[1] == "unreachable" for row in rows):
         raise SystemExit(EXIT_UNREACHABLE)
 
 
-def _row(http, address):
+def _fetch_row(http, address):
     try:
         page = http.request("GET", f"http://{address}/metrics")
     except urllib3.exceptions.HTTPError:
@@ -62,18 +62,18 @@
     samples = read_samples(page.data.decode())
     role = "control" if "term" in samples else "entry"
 
-    def shown(name, digits=0):
+    def format_sample(name, digits=0):
         value = samples.get(name)
         return "-" if value is None else f"{value:.{digits}f}"
 
     return (
         address,
         role,
-        shown("config_version"),
-        shown("view_age_seconds", 1),
-        shown("leads"),
-        shown("term"),
-        shown("upstreams"),
-        shown("entries"),
-        shown("retry_budget_left"),
+        format_sample("config_version"),
+        format_sample("view_age_seconds", 1),
+        format_sample("leads"),
+        format_sample("term"),
+        format_sample("upstreams"),
+        format_sample("entries"),
+        format_sample("retry_budget_left"),
     )
--- a/currantdeal/cli/options.py
+++ b/currantdeal/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Options shared by several commands, and the session built from them."""
 
 import os
 from dataclasses import dataclass
@@ -21,29 +21,29 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Session:
-    """What a command needs to ask and to answer.
+    """Client and output format of one command.
 
     Parameters
     ----------
     client : OperatorClient
-        Reaches the instances.
+        Client of the operators' interface.
     output : OutputFormat
-        How to print.
+        Format of the answer.
     """
 
     client: OperatorClient
     output: OutputFormat
 
-    def show(self, value, print_for_people):
-        """Print a value as JSON, or by a function for people."""
+    def show(self, value, print_as_table):
+        """Print a value as JSON, or as a table with the given function."""
         if self.output is OutputFormat.JSON:
             print_json(value)
         else:
-            print_for_people(value)
+            print_as_table(value)
 
 
 def with_session(command):
-    """Give a command a ``Session`` built from the common options."""
+    """Pass a ``Session``, built from the common options, to a command."""
 
     @wraps(command)
     def run(*, addresses, key_file, output, **options):
@@ -59,7 +59,7 @@
 
 
 def with_wait(command):
-    """Add options of changes: the version expected and the wait."""
+    """Add the options of changes: the wait and the request id."""
     for option in reversed(_CHANGE_OPTIONS):
         command = option(command)
     return command
@@ -75,7 +75,7 @@
         raise CommandError(
             f"the key file cannot be read: {exc}",
             code=ExitCode.WRONG_KEY,
-            hint=f"name a readable file, or set {KEY_VARIABLE}",
+            hint=f"give a readable file, or set {KEY_VARIABLE}",
         ) from exc
 
 
@@ -88,7 +88,7 @@
         envvar=ADDRESS_VARIABLE,
         show_default=True,
         help="IP:PORT of an instance; may be given several times, the next "
-        "one is used when one does not answer.",
+        "one is used if one does not answer.",
     ),
     click.option(
         "--key-file",
@@ -111,12 +111,12 @@
         flag_value=DEFAULT_WAIT_S,
         default=0.0,
         type=float,
-        help="Wait until the change is in force everywhere, so many seconds "
-        f"at most ({DEFAULT_WAIT_S:g} if none are given).",
+        help="Wait until the change is in force everywhere, at most this many "
+        f"seconds ({DEFAULT_WAIT_S:g} without a value).",
     ),
     click.option(
         "--request-id",
         default="",
-        help="Send a change again under the id it had; it is made once.",
+        help="Send a change again under its earlier id; it is made only once.",
     ),
 )
--- a/currantdeal/cli/output.py
+++ b/currantdeal/cli/output.py
@@ -1,15 +1,15 @@
-"""Output of commands: tables for people, JSON for scripts."""
+"""Prints the output of commands as tables or, for scripts, as JSON."""
 
 from enum import Enum
 
 import click
 import msgspec
 
-GAP = "  "
+COLUMN_GAP = "  "
 
 
 class OutputFormat(str, Enum):
-    """How a command prints its answer."""
+    """Format of a command's output."""
 
     TABLE = "table"
     JSON = "json"
@@ -34,12 +34,12 @@
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = zip(line, widths, strict=True)
-        padded = GAP.join(cell.ljust(width) for cell, width in cells)
+        padded = COLUMN_GAP.join(cell.ljust(width) for cell, width in cells)
         click.echo(padded.rstrip())
 
 
 def join(values):
-    """Return values as one cell; a dash for none.
+    """Return values joined to one table cell; a dash if there are none.
 
     Examples
     --------
--- a/currantdeal/cli/process.py
+++ b/currantdeal/cli/process.py
@@ -1,4 +1,4 @@
-"""What the processes of a deployment have in common: signals and settings."""
+"""Settings reload, signals and metrics of entry and control processes."""
 
 import asyncio
 import os
@@ -11,27 +11,28 @@
 from currantdeal.node.settings import read_settings, split_address
 
 SETTINGS_INTERVAL_S = 2.0
-"""Interval at which the settings file is looked at.
+"""Interval between checks of the settings file, in seconds.
 
-It may change without a signal; what it changes concerns minutes, not
-seconds.
+The file may change without a signal.  Its changes take effect over minutes,
+so that a delay of seconds does no harm.
 """
 
 _log = structlog.get_logger(__name__)
 
 
 class SettingsFile:
-    """The settings in force, read again when their file changes.
+    """The settings in force, reloaded when their file changes.
 
-    A file that cannot be used changes nothing: a process that took half of
-    it, or ended, would fail at the next restart of its neighbours.
+    An invalid file leaves the previous settings in force.  A process that
+    applied a part of it, or exited, would be missing at the next restart of
+    the processes beside it.
     """
 
     def __init__(self, *, settings, path):
-        """Hold the settings that the process started with."""
+        """Start with the settings that the process was started with."""
         self._settings = settings
         self._path = path
-        self._seen = self._stamp()
+        self._last_stamp = self._read_stamp()
 
     @property
     def current(self):
@@ -39,8 +40,8 @@
         return self._settings
 
     def reload(self):
-        """Read the file again."""
-        self._seen = self._stamp()
+        """Read the file again; keep the old settings if it is invalid."""
+        self._last_stamp = self._read_stamp()
         try:
             self._settings = read_settings(self._path)
         except SettingsFileError as exc:
@@ -51,52 +52,52 @@
         )
 
     async def watch(self):
-        """Reload when the file changes, until cancelled."""
+        """Reload whenever the file changes, until cancelled."""
         while True:
             await asyncio.sleep(SETTINGS_INTERVAL_S)
-            if self._stamp() != self._seen:
+            if self._read_stamp() != self._last_stamp:
                 self.reload()
 
-    def _stamp(self):
+    def _read_stamp(self):
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return None
-        return (found.st_mtime_ns, found.st_size, found.st_ino)
+        return (status.st_mtime_ns, status.st_size, status.st_ino)
 
 
-def on_signals(*, stop, reload):
-    """Call ``stop`` on SIGTERM and SIGINT, ``reload`` on SIGHUP."""
+def install_signal_handlers(*, stop, reload):
+    """Install ``stop`` for SIGTERM and SIGINT and ``reload`` for SIGHUP."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop)
     loop.add_signal_handler(signal.SIGINT, stop)
     loop.add_signal_handler(signal.SIGHUP, reload)
 
 
-class MetricsPage:
-    """Serves the metrics of a process.
+class MetricsEndpoint:
+    """Serves the metrics of a process over HTTP.
 
     Parameters
     ----------
     metrics : currantdeal.adapters.metrics.Metrics
-        The registry.
+        Registry of the process.
     refresh : callable
-        Sets the gauges; called for each page, so that nobody pays for
-        gauges that nobody reads.
+        Sets the gauges; called once per scrape, so that gauges cost nothing
+        between scrapes.
     """
 
     def __init__(self, *, metrics, refresh):
-        """Serve nothing before ``start``."""
+        """Listen only after ``start``."""
         self._metrics = metrics
         self._refresh = refresh
 
     async def start(self, address):
-        """Listen, if there is an address."""
+        """Listen at an address; do nothing if it is empty."""
         if address:
-            server = HttpServer(handler=self._answer)
+            server = HttpServer(handler=self._handle)
             await server.start(*split_address(address))
 
-    async def _answer(self, request, responder):
+    async def _handle(self, request, responder):
         self._refresh()
         content_type, text = self._metrics.render()
         headers = ((b"content-type", content_type.encode()),)
@@ -104,22 +105,22 @@
 
 
 class LoopDelay:
-    """Measures how late the event loop is.
+    """Measures the delay of the event loop.
 
     Parameters
     ----------
     metrics : currantdeal.adapters.metrics.Metrics
-        Gets a histogram of the delays.
+        Registry with the histogram of the delays.
     """
 
     INTERVAL_S = 0.5
 
     def __init__(self, *, metrics):
-        """Measure nothing before ``run``."""
+        """Measure only while ``run`` is running."""
         self._metrics = metrics
 
     async def run(self):
-        """Measure, until cancelled."""
+        """Record the delay of each sleep, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             due_s = loop.time() + self.INTERVAL_S
@@ -128,8 +129,8 @@
             self._metrics.observe("loop_delay_seconds", delay_s)
 
 
-async def every(interval_s, action):
-    """Call a function again and again, until cancelled."""
+async def call_periodically(interval_s, action):
+    """Call a function at an interval, until cancelled."""
     while True:
         await asyncio.sleep(interval_s)
         action()
--- a/currantdeal/cli/selector_commands.py
+++ b/currantdeal/cli/selector_commands.py
@@ -1,4 +1,4 @@
-"""``currantdeal selectors``: list, apply and delete selectors."""
+"""Commands ``currantdeal selectors``: list, apply and delete selectors."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 from currantdeal.adapters.http.operator import DeleteBody, SelectorBody
 from currantdeal.cli.changes import send_change
-from currantdeal.cli.client import path_of
+from currantdeal.cli.client import operator_path
 from currantdeal.cli.errors import CommandError, ExitCode
 from currantdeal.cli.options import with_session, with_wait
 from currantdeal.cli.output import join, print_table
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SelectorList:
-    """All selectors at one version of the state."""
+    """Answer with all selectors at one version of the state."""
 
     version: int
     selectors: tuple[SelectorRecord, ...]
@@ -38,7 +38,7 @@
 @with_session
 def list_selectors(session):
     """List the selectors in force."""
-    session.show(_read(session), _print_selectors)
+    session.show(_fetch_selectors(session), _print_selectors)
 
 
 @selectors.command()
@@ -56,17 +56,17 @@
 def apply(session, name, path, expected_version, request_id, wait_s, **parts):
     """Create or replace a selector, from options or from a JSON file.
 
-    Options that are left out allow anything.  The change is refused when
-    somebody else changed the selector since the expected version, which is
-    the present one unless given; 0 stands for a new selector.
+    An option that is left out matches everything.  The change is refused if
+    the selector was changed after the expected version, which is the current
+    one by default; 0 means that the selector does not exist yet.
     """
-    selector = _selector(name, path, parts)
+    selector = _build_selector(name, path, parts)
     if expected_version is None:
-        expected_version = _version(session, name)
+        expected_version = _current_version(session, name)
     send_change(
         session,
         "PUT",
-        path_of("selectors", name),
+        operator_path("selectors", name),
         SelectorBody,
         selector=selector,
         expected_version=expected_version,
@@ -80,32 +80,32 @@
 @click.option("--expected-version", type=int, default=None)
 @with_wait
 @with_session
-def delete(session, name, expected_version, **sending):
+def delete(session, name, expected_version, **options):
     """Delete a selector."""
     if expected_version is None:
-        expected_version = _version(session, name)
+        expected_version = _current_version(session, name)
     send_change(
         session,
         "DELETE",
-        path_of("selectors", name),
+        operator_path("selectors", name),
         DeleteBody,
         expected_version=expected_version,
-        **sending,
+        **options,
     )
 
 
-def _read(session):
-    return session.client.read(path_of("selectors"), SelectorList)
+def _fetch_selectors(session):
+    return session.client.read(operator_path("selectors"), SelectorList)
 
 
-def _version(session, name):
-    for record in _read(session).selectors:
+def _current_version(session, name):
+    for record in _fetch_selectors(session).selectors:
         if record.selector.name == name:
             return record.version
     return 0
 
 
-def _selector(name, path, parts):
+def _build_selector(name, path, parts):
     try:
         if path is not None:
             selector = msgspec.json.decode(path.read(), type=Selector)
@@ -122,7 +122,7 @@
         parse_expression(selector.expression)
     except (ParseError, ValueError, msgspec.MsgspecError) as exc:
         raise CommandError(
-            f"not a selector: {exc}",
+            f"invalid selector: {exc}",
             code=ExitCode.USAGE,
             hint="see 'currantdeal selectors apply --help'",
         ) from exc
--- a/currantdeal/cli/serve.py
+++ b/currantdeal/cli/serve.py
@@ -1,4 +1,4 @@
-"""``currantdeal serve``: run one instance."""
+"""Command ``currantdeal serve``: runs one instance until SIGTERM."""
 
 import signal
 from pathlib import Path
@@ -46,14 +46,15 @@
 
 
 def run(settings, build):
-    """Run an instance until it is told to stop.
+    """Run an instance until SIGTERM or SIGINT has drained it.
 
     Parameters
     ----------
     settings : Settings
-        Of the instance.
+        Settings of the instance.
     build : callable
-        Builds its ``Ports`` from settings, clock and metrics.
+        Returns the ``Ports`` of the instance; called with the keywords
+        ``settings``, ``clock`` and ``metrics``.
     """
     clock = SystemClock()
     metrics = Metrics()
--- a/currantdeal/cli/serving.py
+++ b/currantdeal/cli/serving.py
@@ -1,4 +1,4 @@
-"""Builds the serving layer of one instance."""
+"""Builds the serving layer of one instance from its ports and clients."""
 
 import random
 from dataclasses import dataclass
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Serving:
-    """The serving layer of one instance."""
+    """Services of one instance and the parts that run beside them.
+
+    ``decisions`` is the proxy of an actor, which ``stop`` ends.
+    """
 
     view: ServingView
     generation: GenerationService
@@ -32,23 +35,23 @@
     decisions: pykka.ActorProxy
 
     def stop(self):
-        """Stop the actor."""
+        """Stop the actor that makes the routing decisions."""
         self.decisions.actor_ref.stop(block=False)
 
 
 def build_serving(
     *, settings, ports, engines, services, clock, metrics, limit
 ):
-    """Return the serving layer.
+    """Return the serving layer of an instance.
 
     Parameters
     ----------
     ports : Ports
-        State, homes and members.
+        Replicated state, homes and membership.
     engines, services : EnginePort, ServicePort
-        Clients of upstreams.
+        Clients of the engines and of the plain services.
     limit : int
-        Requests served at a time.
+        Number of requests that are served concurrently.
     """
     parts = _build_parts(settings, ports, engines, clock, metrics)
     claims = ClaimBook(
--- a/currantdeal/cli/settings_commands.py
+++ b/currantdeal/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""``currantdeal settings``: check and show an instance's settings."""
+"""Commands ``currantdeal settings``: check and show settings files."""
 
 from pathlib import Path
 
@@ -19,19 +19,19 @@
 
 @click.group()
 def settings():
-    """Check and show settings."""
+    """Check and show settings files."""
 
 
 @settings.command()
 @click.argument("path", type=click.Path(exists=True, dir_okay=False))
 @click.option("--output", type=click.Choice(_FORMATS), default="table")
 def check(path, output):
-    """Check a settings file and name everything that is wrong in it."""
+    """Check a settings file and list all its problems."""
     problems = find_problems(Path(path).read_bytes())
     if output == OutputFormat.JSON.value:
         print_json(problems)
     else:
-        rows = [(each.path, each.message) for each in problems]
+        rows = [(problem.path, problem.message) for problem in problems]
         print_table(("FIELD", "EXPECTED"), rows)
     if problems:
         raise CommandError(
@@ -45,7 +45,7 @@
 @settings.command()
 @click.argument("path", type=click.Path(exists=True, dir_okay=False))
 def show(path):
-    """Show a settings file with every default filled in."""
+    """Show a settings file with all defaults filled in."""
     try:
         print_json(parse_settings(Path(path).read_bytes()))
     except SettingsError as exc:
--- a/currantdeal/cli/state_commands.py
+++ b/currantdeal/cli/state_commands.py
@@ -1,4 +1,4 @@
-"""``currantdeal state``: look at, check and save a replica's data folder."""
+"""Commands ``currantdeal state``: inspect, back up, restore data folders."""
 
 import contextlib
 
@@ -17,15 +17,18 @@
 
 _FORMATS = [each.value for each in OutputFormat]
 _FOLDER = click.Path(exists=True, file_okay=False)
-_DAMAGED = (
-    "if the replica's others are well, stop it, move the folder away and "
-    "start it again: it learns everything from them"
+_DISK_ERROR_HINT = (
+    "if the other replicas are healthy, stop this one, move its folder away "
+    "and start it again: it receives the whole state from them"
 )
 
 
 @click.group()
 def state():
-    """Look at a replica's data folder; nothing in it is changed."""
+    """Inspect, check, save and restore a replica's data folder.
+
+    No command changes a folder that holds data.
+    """
 
 
 @state.command()
@@ -33,7 +36,7 @@
 @click.option("--output", type=click.Choice(_FORMATS), default="table")
 def inspect(folder, output):
     """Show term, vote, snapshot and log of a data folder."""
-    report = _report(folder)
+    report = _inspect_folder(folder)
     if output == OutputFormat.JSON.value:
         print_json(report)
         return
@@ -57,15 +60,15 @@
 @state.command()
 @click.argument("folder", type=_FOLDER)
 def verify(folder):
-    """Check every checksum of a data folder."""
-    report = _report(folder)
+    """Check all checksums of a data folder."""
+    report = _inspect_folder(folder)
     click.echo(
         f"whole: {report.records} records up to index {report.last_index}"
     )
     if report.torn_bytes:
         click.echo(
             f"a crash left {report.torn_bytes} bytes of a write that was "
-            "never acknowledged; the next start cuts them"
+            "never acknowledged; the next start removes them"
         )
 
 
@@ -88,13 +91,13 @@
     multiple=True,
     required=True,
     metavar="INSTANCE=IP:PORT",
-    help="A member of the new replica set; once for each.",
+    help="A member of the new replica set; given once for each member.",
 )
 def restore(file, folder, replicas):
-    """Begin a new replica set in FOLDER from a saved FILE.
+    """Create a member's FOLDER of a new replica set from a saved FILE.
 
-    Only for the day on which a majority of replicas is lost for good.  Do it
-    for every member, with the same members, before any of them is started.
+    Only for a permanent loss of a majority of the replicas.  Run it for every
+    member, with the same list of members, before any of them is started.
     """
     members = [_parse_replica(text) for text in replicas]
     with _disk_errors():
@@ -102,7 +105,7 @@
     click.echo(f"version {restored.version} restored to {folder}")
 
 
-def _report(folder):
+def _inspect_folder(folder):
     with _disk_errors():
         return inspect_folder(folder)
 
@@ -120,5 +123,5 @@
         yield
     except (DiskError, OSError) as exc:
         raise CommandError(
-            str(exc), code=ExitCode.FAILED, hint=_DAMAGED
+            str(exc), code=ExitCode.FAILED, hint=_DISK_ERROR_HINT
         ) from exc
--- a/currantdeal/cli/story.py
+++ b/currantdeal/cli/story.py
@@ -1,25 +1,29 @@
-"""The story of one request, out of the log lines of all processes.
+"""Collects the log lines of all processes that explain one request.
 
-A request's last line names its steps: where memory was reserved, who read
-the prompt, who ran it, and what each answered.  What the process believed is
-in the lines of the same process around that time.  Files are read twice, line
-by line, so that their size does not matter.
+The last line of a request lists its steps: which engine reserved memory,
+which one read the prompt, which one ran the request, and what each answered.
+The lines of the same process around that time show its view of the system.
+Files are read twice, line by line, so that memory use does not depend on
+their size.
 """
 
 import json
 from dataclasses import dataclass
 
 BEFORE_S = 10.0
-"""Time before a request from which a process's beliefs are told.
+"""Seconds before a request from which lines of its process are included.
 
-A change or a leave is known everywhere within a few seconds.
+A change, or an upstream that leaves, reaches every process within a few
+seconds.
 """
 
 AFTER_S = 1.0
+"""Seconds after a request until which lines of its process are included."""
+
 MAX_LINES = 400
-"""Lines of a story; what is beyond is counted."""
+"""Bound of the collected lines; further lines are only counted."""
 
-_BELIEFS = frozenset(
+_PROCESS_EVENTS = frozenset(
     {
         "control-followed",
         "control-lost",
@@ -33,7 +37,7 @@
         "log-lines-dropped",
     }
 )
-"""Events that concern every request of their process."""
+"""Events that concern every request of the process that logs them."""
 
 _UPSTREAM_EVENTS = frozenset(
     {
@@ -45,19 +49,19 @@
         "upstream-replaced",
     }
 )
-"""Events that concern the requests of one upstream."""
+"""Events that concern only requests with a step at the same upstream."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class LogLine:
-    """One decoded line.
+    """One decoded log line.
 
     Parameters
     ----------
     at : float
         Unix time.
     fields : dict
-        Everything else that the line says.
+        All other fields of the line.
     """
 
     at: float
@@ -67,10 +71,10 @@
 
 
 def read_line(text):
-    """Return a ``LogLine``, or None if a text holds none.
+    """Return the ``LogLine`` in a text, or None if it holds none.
 
-    Whatever stands before the JSON, such as a collector's prefix, is left
-    out.
+    Text before the JSON object, such as the prefix of a log collector, is
+    ignored.
 
     Examples
     --------
@@ -93,92 +97,101 @@
     return LogLine(at=at, instance=instance, event=event, fields=fields)
 
 
-class RequestStory:
-    """Collects the lines that explain one request.
+class RequestHistory:
+    """Collects the log lines that explain one request.
+
+    Every line of every file is passed to ``add_request_line`` first, then
+    every line again to ``add_context_line``.
 
     Parameters
     ----------
     request : str
-        The request's id.
+        Id of the request.
     """
 
     def __init__(self, *, request):
-        """Start without any line."""
+        """Start without lines."""
         self._request = request
-        self._own = []
-        self._around = []
-        self._left_out = 0
+        self._request_lines = []
+        self._context_lines = []
+        self._omitted = 0
 
     @property
     def found(self):
-        """True when a line of the request was read."""
-        return bool(self._own)
+        """True if a line of the request was found."""
+        return bool(self._request_lines)
 
     @property
-    def left_out(self):
-        """Lines that did not fit."""
-        return self._left_out
+    def omitted(self):
+        """Number of lines omitted because of ``MAX_LINES``."""
+        return self._omitted
 
     @property
     def lines(self):
-        """The lines of the story, in the order of time."""
-        return sorted(self._own + self._around, key=lambda line: line.at)
+        """The collected lines, sorted by time."""
+        return sorted(
+            self._request_lines + self._context_lines, key=lambda line: line.at
+        )
 
-    def read_own(self, text):
-        """Take a line of the first reading: those of the request itself."""
+    def add_request_line(self, text):
+        """Add a line of the first pass if it belongs to the request."""
         if self._request not in text:
             return
         line = read_line(text)
         if line is not None and line.fields.get("request") == self._request:
-            self._keep(self._own, line)
+            self._append(self._request_lines, line)
 
-    def read_around(self, text):
-        """Take a line of the second reading: what its process believed."""
+    def add_context_line(self, text):
+        """Add a line of the second pass if it explains the request."""
         line = read_line(text)
-        if line is None or not self._concerns(line):
+        if line is None or not self._is_relevant(line):
             return
-        begins, ends = self._span()
-        if begins - BEFORE_S <= line.at <= ends + AFTER_S:
-            self._keep(self._around, line)
-
-    def _concerns(self, line):
-        if not any(own.instance == line.instance for own in self._own):
+        start_s, end_s = self._time_span()
+        if start_s - BEFORE_S <= line.at <= end_s + AFTER_S:
+            self._append(self._context_lines, line)
+
+    def _is_relevant(self, line):
+        if not any(
+            own.instance == line.instance for own in self._request_lines
+        ):
             return False
-        if line.event in _BELIEFS:
+        if line.event in _PROCESS_EVENTS:
             return True
         if line.event not in _UPSTREAM_EVENTS:
             return False
         upstream = line.fields.get("upstream", "")
         return any(
             upstream in step
-            for own in self._own
+            for own in self._request_lines
             for step in own.fields.get("steps", ())
         )
 
-    def _span(self):
-        ends = max(line.at for line in self._own)
-        took = max(line.fields.get("took", 0.0) for line in self._own)
-        return ends - took, ends
+    def _time_span(self):
+        end_s = max(line.at for line in self._request_lines)
+        took = max(
+            line.fields.get("took", 0.0) for line in self._request_lines
+        )
+        return end_s - took, end_s
 
-    def _keep(self, lines, line):
-        if len(self._own) + len(self._around) >= MAX_LINES:
-            self._left_out += 1
+    def _append(self, lines, line):
+        if len(self._request_lines) + len(self._context_lines) >= MAX_LINES:
+            self._omitted += 1
         else:
             lines.append(line)
 
 
-def tell(line, began):
-    """Return the text of one line, with its time after a beginning.
+def format_line(line, start_s):
+    """Return the printed lines of a log line, with its time after a start.
 
     Examples
     --------
     >>> line = LogLine(at=2.5, instance="a", event="x", fields={"why": "y"})
-    >>> tell(line, 2.0)
+    >>> format_line(line, 2.0)
     ['  +0.500 a x: why=y']
     """
     fields = dict(line.fields)
     fields.pop("level", None)
     steps = fields.pop("steps", ())
-    said = " ".join(f"{key}={value}" for key, value in fields.items())
-    head = f"{line.at - began:+8.3f} {line.instance} {line.event}: {said}"
+    details = " ".join(f"{key}={value}" for key, value in fields.items())
+    head = f"{line.at - start_s:+8.3f} {line.instance} {line.event}: {details}"
     return [head, *(f"{'':10}after {step}" for step in steps)]
--- a/currantdeal/cli/system_commands.py
+++ b/currantdeal/cli/system_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the whole system: status, entries, drain, orders, audit."""
+"""Commands on the whole system: status, entries, drain, orders and audit."""
 
 from dataclasses import dataclass
 from datetime import UTC, datetime
@@ -7,7 +7,7 @@
 
 from currantdeal.adapters.http.operator import DrainBody, OrderBody
 from currantdeal.cli.changes import send_change
-from currantdeal.cli.client import path_of
+from currantdeal.cli.client import operator_path
 from currantdeal.cli.options import with_session, with_wait
 from currantdeal.cli.output import join, print_table
 from currantdeal.core import LoadReport, Role
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Status:
-    """What one instance knows of the whole system."""
+    """View of the whole system at the instance that answered."""
 
     instance: str
     region: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderList:
-    """Engine orders at one version of the state."""
+    """Answer with all engine orders at one version of the state."""
 
     version: int
     orders: tuple[OrderRecord, ...]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AuditList:
-    """Part of the audit trail."""
+    """Answer with a part of the audit trail."""
 
     records: tuple[AuditRecord, ...]
 
@@ -55,20 +55,20 @@
 @click.command()
 @with_session
 def status(session):
-    """Show the version in force at each instance."""
-    found = session.client.read(path_of("status"), Status)
-    session.show(found, _print_status)
+    """Show the members with their state, version, lease and load."""
+    answer = session.client.read(operator_path("status"), Status)
+    session.show(answer, _print_status)
 
 
 @click.command()
 @with_session
 def entries(session):
-    """Show the instances that callers are told to use."""
-    found = session.client.read(path_of("status"), Status)
-    names = set(found.draining)
+    """Show the instances that serve callers."""
+    answer = session.client.read(operator_path("status"), Status)
+    names = set(answer.draining)
     serving = tuple(
         member
-        for member in found.members
+        for member in answer.members
         if member.status.value == "alive"
         and not member.draining
         and member.instance not in names
@@ -78,18 +78,18 @@
 
 @click.command()
 @click.argument("instance")
-@click.option("--cancel", is_flag=True, help="Call a drain off.")
+@click.option("--cancel", is_flag=True, help="Cancel a drain.")
 @with_wait
 @with_session
-def drain(session, instance, cancel, **sending):
-    """Stop an instance gracefully: it finishes all work and ends."""
+def drain(session, instance, cancel, **options):
+    """Stop an instance gracefully: it finishes its requests and exits."""
     send_change(
         session,
         "POST",
-        path_of("instances", instance, "drain"),
+        operator_path("instances", instance, "drain"),
         DrainBody,
         draining=not cancel,
-        **sending,
+        **options,
     )
 
 
@@ -101,9 +101,9 @@
 @orders.command("list")
 @with_session
 def list_orders(session):
-    """List engine orders and how far they have come."""
-    found = session.client.read(path_of("orders"), OrderList)
-    session.show(found, _print_orders)
+    """List engine orders with their status."""
+    listed = session.client.read(operator_path("orders"), OrderList)
+    session.show(listed, _print_orders)
 
 
 @orders.command()
@@ -125,7 +125,7 @@
     send_change(
         session,
         "POST",
-        path_of("orders"),
+        operator_path("orders"),
         OrderBody,
         upstream_id=upstream_id,
         order=EngineOrder(
@@ -137,24 +137,28 @@
 
 
 @click.command()
-@click.option("--after", default=0, help="Only changes after this version.")
+@click.option(
+    "--after", default=0, help="Show only changes after this version."
+)
 @click.option("--limit", default=100, show_default=True)
 @with_session
 def audit(session, after, limit):
     """Show who changed what, when and from where."""
-    path = f"{path_of('audit')}?after={after}&limit={limit}"
+    path = f"{operator_path('audit')}?after={after}&limit={limit}"
     session.show(session.client.read(path, AuditList), _print_audit)
 
 
-def _print_status(found):
-    click.echo(f"answered by {found.instance} ({found.region})")
-    click.echo(f"version {found.version}, leader {found.leader or 'unknown'}")
-    if found.draining:
-        click.echo(f"draining: {join(found.draining)}")
-    known = {one.instance: one for one in found.progress}
+def _print_status(answer):
+    click.echo(f"answered by {answer.instance} ({answer.region})")
+    click.echo(
+        f"version {answer.version}, leader {answer.leader or 'unknown'}"
+    )
+    if answer.draining:
+        click.echo(f"draining: {join(answer.draining)}")
+    progress_of = {progress.instance: progress for progress in answer.progress}
     rows = [
-        _status_row(member, known.get(member.instance))
-        for member in found.members
+        _status_row(member, progress_of.get(member.instance))
+        for member in answer.members
     ]
     headings = ("INSTANCE", "REGION", "STATE", "VERSION", "LEASE S", "LOAD")
     print_table(headings, rows)
@@ -199,7 +203,7 @@
     rows = [
         (
             record.version,
-            _time(record.wall_s),
+            _format_time(record.wall_s),
             record.actor,
             record.address or "-",
             record.change,
@@ -224,6 +228,6 @@
     )
 
 
-def _time(wall_s):
+def _format_time(wall_s):
     stamp = datetime.fromtimestamp(wall_s, tz=UTC)
     return stamp.isoformat(timespec="milliseconds")
--- a/currantdeal/cli/tests/local_daemon.py
+++ b/currantdeal/cli/tests/local_daemon.py
@@ -1,6 +1,6 @@
-"""One instance with local ports, as a process of its own.
+"""Runs one instance with in-process ports, as a separate process.
 
-Run ``python -m currantdeal.cli.tests.local_daemon SETTINGS``.
+Usage: ``python -m currantdeal.cli.tests.local_daemon SETTINGS``.
 """
 
 import sys
@@ -20,7 +20,7 @@
 
 
 def build_local_ports(*, settings, clock, metrics):
-    """Return ports of a lone instance with one selector for everything."""
+    """Return in-process ports with one selector that matches everything."""
     state = LocalState(instance=settings.instance, region=settings.region)
     origin = Origin(request_id="all", actor="test", instance=settings.instance)
     state.propose(
@@ -29,7 +29,7 @@
         ),
         timeout_s=1.0,
     )
-    me = Member(
+    member = Member(
         instance=settings.instance,
         incarnation=1,
         caller_address=settings.caller_address,
@@ -40,7 +40,7 @@
     return Ports(
         state=state,
         homes=LocalHomes(state=state, clock=clock),
-        members=LocalMembers(me=me),
+        members=LocalMembers(me=member),
     )
 
 
--- a/currantdeal/cli/tests/test_account.py
+++ b/currantdeal/cli/tests/test_account.py
@@ -1,3 +1,5 @@
+"""Tests of the command ``account`` on written log lines."""
+
 import json
 
 from click.testing import CliRunner
@@ -5,7 +7,7 @@
 from currantdeal.cli.main import main
 
 
-def _ended(at, *, outcome="answered", steps=(), **fields):
+def _end_line(at, *, outcome="answered", steps=(), **fields):
     line = {
         "at": at,
         "instance": "entry-1",
@@ -25,43 +27,43 @@
     return json.dumps(line | fields)
 
 
-IN_TIME = ("0.003 memory d1", "0.170 prompt p1", "0.300 stream d1")
+IN_TIME_STEPS = ("0.003 memory d1", "0.170 prompt p1", "0.300 stream d1")
 
 
-def _account(tmp_path, lines):
+def _run_account(tmp_path, lines):
     path = tmp_path / "all.log"
     path.write_text("\n".join(lines) + "\n")
-    found = CliRunner().invoke(main, ["account", str(path)])
-    assert found.exit_code == 0, found.output
-    return found.output
+    result = CliRunner().invoke(main, ["account", str(path)])
+    assert result.exit_code == 0, result.output
+    return result.output
 
 
-def test_each_loss_is_put_down_to_its_first_cause(tmp_path):
-    told = _account(
+def test_each_loss_is_counted_under_its_first_cause(tmp_path):
+    output = _run_account(
         tmp_path,
         [
-            _ended(1.0, steps=IN_TIME),
-            _ended(
+            _end_line(1.0, steps=IN_TIME_STEPS),
+            _end_line(
                 1.1,
                 outcome="refused: no memory",
                 first=None,
                 steps=["0.401 silent d2: no answer in 0.40 s"],
             ),
-            _ended(1.2, outcome="refused: no memory", first=None),
-            _ended(
+            _end_line(1.2, outcome="refused: no memory", first=None),
+            _end_line(
                 1.3,
                 first=1.2,
                 steps=["0.003 memory d1", "0.900 prompt p1", "1.2 stream d1"],
             ),
-            _ended(
+            _end_line(
                 1.4,
                 longest_pause=1.8,
-                steps=[*IN_TIME, "1.500 silent d1: no event"],
+                steps=[*IN_TIME_STEPS, "1.500 silent d1: no event"],
             ),
-            _ended(1.5, longest_pause=0.4, steps=IN_TIME),
-            _ended(1.6, patience=9.0, steps=IN_TIME),
-            _ended(1.7, outcome="refused: no memory", patience=9.0),
-            _ended(
+            _end_line(1.5, longest_pause=0.4, steps=IN_TIME_STEPS),
+            _end_line(1.6, patience=9.0, steps=IN_TIME_STEPS),
+            _end_line(1.7, outcome="refused: no memory", patience=9.0),
+            _end_line(
                 1.8,
                 outcome="refused: no memory",
                 first=None,
@@ -72,7 +74,7 @@
     )
     rows = {
         line.split("  ")[1].strip() if "  " in line else line: line
-        for line in told.splitlines()
+        for line in output.splitlines()
         if line.startswith("generation")
     }
     assert set(rows) == {
@@ -89,23 +91,23 @@
     assert all(row.split()[-3] == "1" for row in rows.values())
 
 
-def test_losses_are_told_by_time(tmp_path):
-    told = _account(
+def test_losses_are_summed_up_by_time_span(tmp_path):
+    output = _run_account(
         tmp_path,
         [
-            _ended(10.0, outcome="refused: no memory", first=None),
-            _ended(17.0, outcome="refused: no memory", first=None),
+            _end_line(10.0, outcome="refused: no memory", first=None),
+            _end_line(17.0, outcome="refused: no memory", first=None),
         ],
     )
-    spans = told.split("MAIN CAUSES")[1].splitlines()
+    spans = output.split("MAIN CAUSES")[1].splitlines()
     assert [line.split()[0] for line in spans if line.strip()] == ["0", "6"]
 
 
-def test_calls_are_told_apart_from_generations(tmp_path):
-    told = _account(
+def test_calls_and_generations_have_separate_rows(tmp_path):
+    output = _run_account(
         tmp_path,
         [
-            _ended(
+            _end_line(
                 1.0,
                 prompt_tokens=0,
                 pause_target=0.0,
@@ -115,4 +117,4 @@
             )
         ],
     )
-    assert "call  the upstream was lost or silent" in told
+    assert "call  the upstream was lost or silent" in output
--- a/currantdeal/cli/tests/test_commands.py
+++ b/currantdeal/cli/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Operator commands against a lone instance and stand-ins."""
+"""Runs the operators' commands against one instance and stand-ins."""
 
 import json
 
@@ -24,21 +24,21 @@
 def cluster(tmp_path_factory):
     shape = ClusterShape(instances=spread(1), command=ALONE)
     folder = tmp_path_factory.mktemp("cluster")
-    with Cluster(folder=folder, shape=shape) as made:
-        made.start()
-        made.wait_ready()
-        made.add_engine("p1", roles=("prefill",))
-        made.add_engine("d1", roles=("decode",))
-        made.add_service("shop-1")
-        made.wait_upstreams()
-        yield made
+    with Cluster(folder=folder, shape=shape) as new_cluster:
+        new_cluster.start()
+        new_cluster.wait_ready()
+        new_cluster.add_engine("p1", roles=("prefill",))
+        new_cluster.add_engine("d1", roles=("decode",))
+        new_cluster.add_service("shop-1")
+        new_cluster.wait_upstreams()
+        yield new_cluster
 
 
 @pytest.fixture
 def run(cluster, tmp_path):
     address = cluster.caller_addresses[0]
 
-    def call(*arguments, key=OPERATOR_KEY, addresses=(address,)):
+    def run_command(*arguments, key=OPERATOR_KEY, addresses=(address,)):
         options = [part for one in addresses for part in ("--address", one)]
         return CliRunner().invoke(
             main,
@@ -46,7 +46,7 @@
             env={"CURRANTDEAL_OPERATOR_KEY": key},
         )
 
-    return call
+    return run_command
 
 
 @pytest.fixture
@@ -54,7 +54,7 @@
     return CallerClient(address=cluster.caller_addresses[0])
 
 
-def _labels_of(run, name):
+def _read_labels(run, name):
     listed = json.loads(run("upstreams", "list", "--output", "json").stdout)
     return {
         shown["upstream"]["upstream_id"]: shown["labels"]
@@ -68,9 +68,9 @@
 
 def test_labels_are_set_and_removed(run):
     assert run("upstreams", "label", "p1", "tier=gold").exit_code == 0
-    assert _labels_of(run, "p1") == {"tier": "gold"}
+    assert _read_labels(run, "p1") == {"tier": "gold"}
     assert run("upstreams", "label", "p1", "tier-").exit_code == 0
-    assert _labels_of(run, "p1") == {}
+    assert _read_labels(run, "p1") == {}
 
 
 def test_a_withdrawn_upstream_gets_no_more_work(run, caller, cluster):
@@ -83,7 +83,7 @@
     assert caller.order("k2", b"{}").status == 201
 
 
-def test_an_old_version_loses_with_a_conflict(run):
+def test_change_under_an_old_version_is_a_conflict(run):
     run("selectors", "apply", "gold", "--expression", "tier=gold")
     result = run("selectors", "apply", "gold", "--expected-version", "0")
     assert result.exit_code == ExitCode.CONFLICT
@@ -92,10 +92,11 @@
 
 
 def test_a_resend_under_its_request_id_gets_the_first_answer(run):
-    """An operator's answer gets lost, so the change is sent again.
+    """Guards against a conflict of an operator's change with its own resend.
 
-    Without request ids the operator would see a conflict with the own
-    change and not know whose it was.
+    The answer to the change gets lost, so the change is sent again.  Without
+    request ids the resend would conflict with the first attempt, and the
+    operator could not see whose change had come first.
     """
     sent = ("--expected-version", "0", "--request-id", "r1")
     first = run("selectors", "apply", "again", *sent)
@@ -120,16 +121,16 @@
     assert json.loads(run(command, "--output", "json").stdout)
 
 
-def test_the_next_address_is_used_when_one_is_dead(run, cluster):
-    dead = "127.0.0.1:9"
+def test_next_address_is_used_if_one_is_unreachable(run, cluster):
+    unreachable = "127.0.0.1:9"
     address = cluster.caller_addresses[0]
-    assert run("status", addresses=(dead, address)).exit_code == 0
-    result = run("status", addresses=(dead,))
+    assert run("status", addresses=(unreachable, address)).exit_code == 0
+    result = run("status", addresses=(unreachable,))
     assert result.exit_code == ExitCode.UNREACHABLE
     assert "--address" in result.stderr
 
 
-def test_other_keys_and_wrong_names_are_refused(run):
+def test_wrong_keys_and_unknown_names_are_refused(run):
     result = run("status", key="caller-key-of-the-harness")
     assert result.exit_code == ExitCode.WRONG_KEY
     result = run("upstreams", "withdraw", "nobody")
@@ -138,9 +139,9 @@
 
 
 def test_settings_are_checked_and_shown(cluster, tmp_path):
-    folder = tmp_path / "wrong.json"
-    folder.write_text('{"timing": {"lease_s": 9}}')
-    result = CliRunner().invoke(main, ["settings", "check", str(folder)])
+    path = tmp_path / "wrong.json"
+    path.write_text('{"timing": {"lease_s": 9}}')
+    result = CliRunner().invoke(main, ["settings", "check", str(path)])
     assert result.exit_code == ExitCode.WRONG_SETTINGS
     assert "caller_address" in result.stdout
     assert CliRunner().invoke(main, ["settings", "schema"]).exit_code == 0
--- a/currantdeal/cli/tests/test_docs.py
+++ b/currantdeal/cli/tests/test_docs.py
@@ -1,3 +1,5 @@
+"""Checks that the documentation agrees with the program and its tests."""
+
 import re
 import shlex
 from pathlib import Path
@@ -11,22 +13,23 @@
 from currantdeal.testing.shapes import OPERATOR_KEY, ClusterShape, spread
 
 PAGES = Path(currantdeal.__file__).parents[1] / "docs" / "operators"
-BLOCK = re.compile(r"```(\w+)\n(.*?)```", re.S)
-LAST = "drain.md"
+CODE_BLOCK = re.compile(r"```(\w+)\n(.*?)```", re.S)
+LAST_PAGE = "drain.md"
 
 
-def _blocks(page, wanted):
-    for language, text in BLOCK.findall(page.read_text()):
+def _code_blocks(page, wanted):
+    for language, text in CODE_BLOCK.findall(page.read_text()):
         if language == wanted:
             yield text
 
 
-def _commands():
+def _documented_commands():
     pages = sorted(
-        PAGES.glob("*.md"), key=lambda page: (page.name == LAST, page.name)
+        PAGES.glob("*.md"),
+        key=lambda page: (page.name == LAST_PAGE, page.name),
     )
     for page in pages:
-        for text in _blocks(page, "sh"):
+        for text in _code_blocks(page, "sh"):
             for line in text.splitlines():
                 if line.startswith("currantdeal "):
                     yield line
@@ -36,23 +39,23 @@
 def cluster(tmp_path):
     with Cluster(
         folder=tmp_path, shape=ClusterShape(instances=spread(3))
-    ) as found:
+    ) as new_cluster:
         for name in ("decode-1", "decode-2"):
-            found.add_engine(name, roles=("decode",))
-        found.start()
-        found.wait_ready()
-        found.wait_upstreams()
-        yield found
+            new_cluster.add_engine(name, roles=("decode",))
+        new_cluster.start()
+        new_cluster.wait_ready()
+        new_cluster.wait_upstreams()
+        yield new_cluster
 
 
 def test_commands_of_the_operators_pages_work(cluster, tmp_path):
     settings = tmp_path / "settings.json"
-    settings.write_text(next(_blocks(PAGES / "deploy.md", "json")))
+    settings.write_text(next(_code_blocks(PAGES / "deploy.md", "json")))
     environment = {
         "CURRANTDEAL_ADDRESS": " ".join(cluster.caller_addresses),
         "CURRANTDEAL_OPERATOR_KEY": OPERATOR_KEY,
     }
-    lines = list(_commands())
+    lines = list(_documented_commands())
     assert lines
     for line in lines:
         words = [
@@ -70,7 +73,7 @@
         assert any(f"{page.name})" in text for text in texts), page.name
 
 
-def _known_tests():
+def _test_names():
     root = PAGES.parents[1]
     for folder in ("currantdeal", "benchmarks"):
         for path in (root / folder).rglob("test_*.py"):
@@ -87,7 +90,7 @@
     page = (PAGES.parent / "promises.md").read_text()
     named = set(re.findall(r"`(test_\w+)`", page))
     assert named
-    assert named - set(_known_tests()) == set()
+    assert named - set(_test_names()) == set()
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
--- a/currantdeal/cli/tests/test_drain.py
+++ b/currantdeal/cli/tests/test_drain.py
@@ -1,3 +1,5 @@
+"""Test of the wait for the end of a drain."""
+
 import signal
 import sys
 import threading
@@ -9,20 +11,22 @@
 LIMIT_S = 20.0
 
 
-def _raise_in_this_thread(main):
+def _signal_this_thread(main):
     deadline_s = time.monotonic() + LIMIT_S
     while time.monotonic() < deadline_s:
         time.sleep(0.05)
+        # The local ``waiter`` exists while ``Condition.wait`` blocks.
         if "waiter" in sys._current_frames()[main].f_locals:
             break
     signal.pthread_kill(threading.get_ident(), signal.SIGUSR1)
 
 
-def test_signal_that_another_thread_gets_is_acted_on():
-    """The system hands SIGTERM to a thread that serves callers.
+def test_signal_delivered_to_another_thread_is_handled():
+    """Guards against a SIGTERM without effect.
 
-    The instance would go on as if nothing had been sent, until somebody
-    kills it and cuts its streams off.
+    The system delivers the signal to a thread that serves callers.  The main
+    thread, which runs the handler, would not wake up, and the instance would
+    serve on until it is killed and its streams are cut off.
     """
     drain = Drain(
         instance="i1",
@@ -32,17 +36,17 @@
         keep_s=0.0,
         clock=SystemClock(),
     )
-    late = threading.Event()
+    timed_out = threading.Event()
 
     def give_up():
-        late.set()
+        timed_out.set()
         drain._ended.set()
 
     watchdog = threading.Timer(LIMIT_S, give_up)
     watchdog.start()
     before = signal.signal(signal.SIGUSR1, lambda *_: drain._ended.set())
     main = threading.get_ident()
-    sender = threading.Thread(target=_raise_in_this_thread, args=(main,))
+    sender = threading.Thread(target=_signal_this_thread, args=(main,))
     sender.start()
     try:
         drain.wait()
@@ -50,4 +54,4 @@
         watchdog.cancel()
         sender.join()
         signal.signal(signal.SIGUSR1, before)
-    assert not late.is_set()
+    assert not timed_out.is_set()
--- a/currantdeal/cli/tests/test_node_processes.py
+++ b/currantdeal/cli/tests/test_node_processes.py
@@ -1,3 +1,5 @@
+"""Tests of entry and control as operating-system processes."""
+
 import asyncio
 import json
 import shutil
@@ -18,8 +20,8 @@
 ORDER = request_bytes("/order/1", body=b"cake=1")
 
 
-class _Upstreams:
-    """Stand-ins on a thread of their own."""
+class _UpstreamThread:
+    """Stand-in upstreams on an event loop in a thread of its own."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -28,8 +30,10 @@
         )
         self._thread.start()
 
-    def run(self, work):
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result(20)
+    def run(self, coroutine):
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(
+            20
+        )
 
     def add(self, **options):
         standin = StandInUpstream(**options)
@@ -43,12 +47,12 @@
 
 @pytest.fixture
 def upstreams():
-    found = _Upstreams()
-    yield found
-    found.stop()
+    stand_ins = _UpstreamThread()
+    yield stand_ins
+    stand_ins.stop()
 
 
-def _beat(standin, **more):
+def _heartbeat(standin, **more):
     return heartbeat(standin.address, "shop", **more)
 
 
@@ -61,24 +65,24 @@
     return answer
 
 
-def _ask(entry, raw):
+def _request(entry, raw):
     address = entry.settings["listen"]["callers"]
     return asyncio.run(_send(address, raw))
 
 
-def _until(condition, timeout_s=15.0):
-    ends = time.monotonic() + timeout_s
-    while time.monotonic() < ends:
+def _wait_until(condition, timeout_s=15.0):
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
         if condition():
             return
         time.sleep(0.05)
-    raise AssertionError("it never came to be")
+    raise AssertionError("the condition did not hold within the timeout")
 
 
-def _served(entry):
-    """Return whether an order is served; not while the process starts."""
+def _is_served(entry):
+    """Return whether an order is served; False while the process starts."""
     try:
-        return _ask(entry, ORDER).startswith(b"HTTP/1.1 200")
+        return _request(entry, ORDER).startswith(b"HTTP/1.1 200")
     except ConnectionRefusedError:
         return False
 
@@ -87,10 +91,10 @@
     standin = upstreams.add()
     with NodeCluster(folder=tmp_path) as cluster:
         cluster.put_config(config_body(version=3))
-        cluster.announce("u1", _beat(standin))
+        cluster.announce("u1", _heartbeat(standin))
         for entry in cluster.entries:
-            _until(lambda entry=entry: cluster.is_ready(entry))
-            _until(lambda entry=entry: _served(entry))
+            _wait_until(lambda entry=entry: cluster.is_ready(entry))
+            _wait_until(lambda entry=entry: _is_served(entry))
         assert json.loads(cluster.get_config())["Version"] == 3
         _check_directory(cluster)
         _check_status(cluster)
@@ -107,7 +111,7 @@
         status, body = cluster.call("GET", url)
         return status == 200 and set(json.loads(body)["Addresses"]) == wanted
 
-    _until(complete)
+    _wait_until(complete)
 
 
 def _check_status(cluster):
@@ -118,8 +122,8 @@
     assert [row[1] for row in rows] == ["control"] * 3 + ["entry"] * 2
     assert {row[2] for row in rows} == {"3"}
     assert [row[4] for row in rows[:3]].count("1") == 1
-    lost = CliRunner().invoke(main, ["nodes", "127.0.0.1:1"])
-    assert lost.exit_code == 1
+    unreachable = CliRunner().invoke(main, ["nodes", "127.0.0.1:1"])
+    assert unreachable.exit_code == 1
 
 
 def _check_refused_config(cluster):
@@ -131,19 +135,20 @@
 
 
 def _check_drain(cluster, standin):
-    cluster.announce("u1", _beat(standin, state="draining", sequence=2))
+    cluster.announce("u1", _heartbeat(standin, state="draining", sequence=2))
     time.sleep(0.5)
     before = len(standin.seen)
     for entry in cluster.entries:
-        assert _ask(entry, ORDER).startswith(b"HTTP/1.1 503")
+        assert _request(entry, ORDER).startswith(b"HTTP/1.1 503")
     assert len(standin.seen) == before
 
 
 def test_changes_outlive_the_kill_of_all_processes(tmp_path, upstreams):
-    """Every process is killed right after a change was acknowledged.
+    """Guards against an acknowledged change that a restart loses.
 
-    After the restart operators read the change back, and callers are served
-    by it, without any upstream announcing itself anew in a special way.
+    Every process is killed right after the acknowledgement.  After the
+    restart operators read the change back and callers are served by it; the
+    upstream only sends its next ordinary heartbeat.
     """
     standin = upstreams.add()
     with NodeCluster(folder=tmp_path) as cluster:
@@ -155,26 +160,26 @@
             process.settings["first_start"] = process.role == "entry"
             process.start()
         assert json.loads(cluster.get_config())["Version"] == 8
-        cluster.announce("u1", _beat(standin, sequence=2))
+        cluster.announce("u1", _heartbeat(standin, sequence=2))
         for entry in cluster.entries:
-            _until(lambda entry=entry: _served(entry))
-
+            _wait_until(lambda entry=entry: _is_served(entry))
 
-def test_a_stopped_control_instance_counts_no_more(tmp_path, upstreams):
-    """A control instance is replaced: the new one first, then the old stops.
 
-    Right after that all machines lose power, and the new one comes back with
-    an empty disk.  Nobody is elected any more, operators can't read back what
-    was acknowledged, and callers are refused for good.
+def test_a_stopped_control_instance_is_no_longer_a_voter(tmp_path, upstreams):
+    """Guards against a stopped control instance that still counts as a voter.
 
-    The old one counted as a voter after it had ended; it now asks to leave.
+    A control instance is replaced: the new one is started, then the old one
+    is stopped.  All machines lose power, and the new one returns with an empty
+    disk.  If the old one were still a voter, no leader could be elected,
+    operators could not read acknowledged changes back, and callers would be
+    refused permanently.  A stopping instance therefore requests its removal.
     """
     standin = upstreams.add()
     with NodeCluster(folder=tmp_path, control=4) as cluster:
         old, *rest = cluster.control
         new = rest[-1]
         cluster.put_config(config_body(version=3))
-        _until(lambda: _holds(cluster, new, version=3))
+        _wait_until(lambda: _has_version(cluster, new, version=3))
         old.send_signal(signal.SIGTERM)
         assert old.wait(8.0) == 0
         cluster.put_config(config_body(version=8))
@@ -185,21 +190,22 @@
             process.settings["first_start"] = False
             process.start()
         assert json.loads(cluster.get_config())["Version"] == 8
-        cluster.announce("u1", _beat(standin, sequence=2))
+        cluster.announce("u1", _heartbeat(standin, sequence=2))
         for entry in cluster.entries:
-            _until(lambda entry=entry: _served(entry))
+            _wait_until(lambda entry=entry: _is_served(entry))
 
 
-def _holds(cluster, control, *, version):
+def _has_version(cluster, control, *, version):
     status, raw = cluster.call("GET", cluster.metrics_url(control))
     return status == 200 and f"config_version {version}" in raw.decode()
 
 
-def test_a_planned_stop_finishes_what_it_has_read(tmp_path, upstreams):
-    """An entry is told to stop while an order is at the upstream.
+def test_a_planned_stop_finishes_requests_in_progress(tmp_path, upstreams):
+    """Guards against requests cut off by a planned stop of an entry.
 
-    The order has its answer before the process ends, and requests that come
-    while callers still hold the entry's address are answered too.
+    The entry is stopped while an order is at the upstream.  The order is
+    answered before the process exits, as are requests that arrive while
+    callers still cache the address of the entry.
     """
 
     async def slow(standin, request, writer):
@@ -210,57 +216,59 @@
     with NodeCluster(folder=tmp_path, entries=1) as cluster:
         (entry,) = cluster.entries
         cluster.put_config(config_body(version=3))
-        cluster.announce("u1", _beat(standin))
-        _until(lambda: _served(entry))
+        cluster.announce("u1", _heartbeat(standin))
+        _wait_until(lambda: _is_served(entry))
         answers = []
-        asking = threading.Thread(
-            target=lambda: answers.append(_ask(entry, ORDER))
+        request_thread = threading.Thread(
+            target=lambda: answers.append(_request(entry, ORDER))
         )
-        asking.start()
+        request_thread.start()
         time.sleep(0.3)
         entry.send_signal(signal.SIGTERM)
         time.sleep(0.1)
         assert not cluster.is_ready(entry)
-        late = _ask(entry, ORDER)
-        asking.join()
+        late_answer = _request(entry, ORDER)
+        request_thread.join()
         assert answers[0].startswith(b"HTTP/1.1 200")
-        assert late.startswith(b"HTTP/1.1 200")
-        assert b"connection: close" in late.lower()
+        assert late_answer.startswith(b"HTTP/1.1 200")
+        assert b"connection: close" in late_answer.lower()
         assert entry.wait(8.0) == 0
 
 
 def test_a_process_that_still_starts_outlives_the_signal_to_reload():
-    """The settings file changes just after a process was started.
+    """Guards against a reload signal that ends a starting process.
 
-    The signal comes while its modules are imported, and would end it without
-    a line in its log.
+    The settings file changes just after the start.  The signal arrives while
+    the modules are imported, when its default action would end the process
+    without a line in its log.
     """
     program = (
         "import os, signal, currantdeal.cli.node;"
         "os.kill(os.getpid(), signal.SIGHUP);"
         "print('alive')"
     )
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert found.stdout == "alive\n"
+    assert completed.stdout == "alive\n"
 
 
-def test_unusable_settings_change_nothing(tmp_path):
-    """A settings file is replaced by one that cannot be read.
+def test_invalid_settings_leave_the_old_ones_in_force(tmp_path):
+    """Guards against a process that an invalid settings file stops.
 
-    The process goes on with what it has and says so.
+    The settings file is replaced by an invalid one.  The process keeps its
+    settings and logs why it refused the new ones.
     """
     with NodeCluster(folder=tmp_path, entries=1) as cluster:
         (entry,) = cluster.entries
         cluster.put_config(config_body(version=3))
-        _until(lambda: cluster.is_ready(entry))
+        _wait_until(lambda: cluster.is_ready(entry))
         entry.write_settings(peer_port="none")
         entry.send_signal(signal.SIGHUP)
-        _until(
+        _wait_until(
             lambda: any(
                 line["event"] == "settings-refused"
                 and "peer_port" in line["why"]
--- a/currantdeal/cli/tests/test_poison_records.py
+++ b/currantdeal/cli/tests/test_poison_records.py
@@ -1,4 +1,4 @@
-"""Data from outside that could end control again and again."""
+"""Tests of extreme input that could crash processes repeatedly."""
 
 import asyncio
 import json
@@ -11,71 +11,80 @@
 from currantdeal.testing.node_processes import NodeCluster
 from currantdeal.testing.platform_upstream import heartbeat
 
-HUGE = 10**30
-DEEP = b"[" * 200_000 + b"]" * 200_000
+HUGE_NUMBER = 10**30
+NESTED = b"[" * 200_000 + b"]" * 200_000
 
 START_S = 15.0
 
-GOOD = heartbeat("127.0.0.1:9", "shop")
+VALID_HEARTBEAT = heartbeat("127.0.0.1:9", "shop")
 
 
-def _beat(**changes):
-    return json.dumps({**GOOD, **changes}).encode()
+def _encode_heartbeat(**changes):
+    return json.dumps({**VALID_HEARTBEAT, **changes}).encode()
 
 
-BEATS = {
-    "sequence": _beat(Sequence=HUGE),
-    "started": _beat(born=HUGE),
-    "places": _beat(Slots=HUGE),
-    "nested": b'{"more":' + DEEP + b"," + _beat()[1:],
+HEARTBEATS = {
+    "sequence": _encode_heartbeat(Sequence=HUGE_NUMBER),
+    "started": _encode_heartbeat(born=HUGE_NUMBER),
+    "places": _encode_heartbeat(Slots=HUGE_NUMBER),
+    "nested": b'{"more":' + NESTED + b"," + _encode_heartbeat()[1:],
 }
 
 
-def _await_control(cluster):
+def _wait_for_control(cluster):
     """Wait until each control process has the first configuration."""
     cluster.put_config(config_body(version=1))
     for process in cluster.control:
         url = cluster.control_url(process, "/v1/config")
-        ends_s = time.monotonic() + START_S
+        deadline_s = time.monotonic() + START_S
         while cluster.call("GET", url)[0] != 200:
-            assert time.monotonic() < ends_s, "control does not answer"
+            assert time.monotonic() < deadline_s, "control does not answer"
             time.sleep(0.05)
 
 
-@pytest.mark.parametrize("kind", BEATS)
-def test_control_outlives_a_heartbeat_that_it_cannot_pass_on(tmp_path, kind):
-    """Guards against one upstream that ends control with each heartbeat."""
+@pytest.mark.parametrize("kind", HEARTBEATS)
+def test_control_refuses_a_heartbeat_that_it_cannot_forward(tmp_path, kind):
+    """Guards against an upstream whose heartbeats crash control processes.
+
+    The heartbeat has a number beyond 64 bits or is nested too deeply, so that
+    control cannot forward it.  Control refuses it with 400, keeps running and
+    serves an entry that starts later.
+    """
     with NodeCluster(folder=tmp_path, entries=1) as cluster:
-        _await_control(cluster)
+        _wait_for_control(cluster)
         statuses = set()
         for process in cluster.control:
             url = cluster.control_url(process, "/v1/instances/u1")
             for _ in range(2):
-                statuses.add(cluster.call("PUT", url, BEATS[kind])[0])
+                statuses.add(cluster.call("PUT", url, HEARTBEATS[kind])[0])
         time.sleep(1.5)
         assert all(process.is_running for process in cluster.control)
         assert statuses == {400}
         entry = cluster.entries[0]
         entry.kill()
         entry.start()
-        ends_s = time.monotonic() + START_S
+        deadline_s = time.monotonic() + START_S
         while not cluster.is_ready(entry):
-            assert time.monotonic() < ends_s, "the entry gets no routes"
+            assert time.monotonic() < deadline_s, "the entry gets no routes"
             time.sleep(0.1)
 
 
 @pytest.mark.parametrize(
     "body",
     [
-        config_body(version=2).replace(b":2,", b":%d," % HUGE, 1),
-        config_body(version=2)[:-1] + b',"more":' + DEEP + b"}",
+        config_body(version=2).replace(b":2,", b":%d," % HUGE_NUMBER, 1),
+        config_body(version=2)[:-1] + b',"more":' + NESTED + b"}",
     ],
     ids=["version", "nested"],
 )
-def test_change_that_cannot_be_passed_on_is_refused(tmp_path, body):
-    """Guards against a change that is sent again for want of an answer."""
+def test_change_that_cannot_be_forwarded_is_refused(tmp_path, body):
+    """Guards against a change that crashes control with each resend.
+
+    Without an answer the operator's client sends the change again.  A change
+    with a number beyond 64 bits, or nested too deeply, is refused with 400.
+    """
     with NodeCluster(folder=tmp_path, entries=0) as cluster:
-        _await_control(cluster)
+        _wait_for_control(cluster)
         for process in cluster.control:
             url = cluster.control_url(process, "/v1/config")
             assert cluster.call("PUT", url, body)[0] == 400
@@ -90,7 +99,7 @@
 }
 
 
-async def _ask(entry, size):
+async def _request_status(entry, size):
     counts, hint = size
     raw = request_bytes(
         "/note/1",
@@ -102,41 +111,47 @@
     )
     host, _, port = entry.settings["listen"]["callers"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
-    # Headers are latin-1 on the wire.
+    # HTTP headers are sent as latin-1.
     writer.write(raw.decode().encode("latin-1"))
     answer = await reader.read()
     writer.close()
     return answer[9:12]
 
 
-async def _await_generations(entry):
-    ends_s = time.monotonic() + START_S
-    while await _ask(entry, ("3000,900", "500")) != b"200":
-        assert time.monotonic() < ends_s, "no generation is served"
+async def _wait_for_generations(entry):
+    deadline_s = time.monotonic() + START_S
+    while await _request_status(entry, ("3000,900", "500")) != b"200":
+        assert time.monotonic() < deadline_s, "no generation is served"
         await asyncio.sleep(0.1)
 
 
-async def _ask_all_sizes(cluster):
+async def _request_all_sizes(cluster):
     entry = cluster.entries[0]
-    # A run that lasts is reported to control while it runs.
+    # A run of this length is reported to control while it lasts.
     fleet = CrashingFleet(
         cluster=cluster, crashes_under=lambda request: False, work_s=0.4
     )
     await fleet.start()
     try:
-        await _await_generations(entry)
-        return {name: await _ask(entry, size) for name, size in SIZES.items()}
+        await _wait_for_generations(entry)
+        return {
+            name: await _request_status(entry, size)
+            for name, size in SIZES.items()
+        }
     finally:
         fleet.stop()
 
 
 def test_entry_outlives_a_request_of_any_size(tmp_path):
-    """Guards against one request that ends each entry that takes it."""
+    """Guards against a request whose size headers crash each entry.
+
+    The sizes are far larger than any real one or are no ASCII digits.
+    """
     with NodeCluster(folder=tmp_path, entries=1) as cluster:
-        _await_control(cluster)
+        _wait_for_control(cluster)
         entry = cluster.entries[0]
         while not cluster.is_ready(entry):
             time.sleep(0.1)
-        found = asyncio.run(_ask_all_sizes(cluster))
+        statuses_by_size = asyncio.run(_request_all_sizes(cluster))
         assert entry.is_running
-    assert found == dict.fromkeys(SIZES, b"200")
+    assert statuses_by_size == dict.fromkeys(SIZES, b"200")
--- a/currantdeal/cli/tests/test_state_commands.py
+++ b/currantdeal/cli/tests/test_state_commands.py
@@ -1,3 +1,5 @@
+"""Tests of the commands ``state`` on a written data folder."""
+
 import json
 
 import pytest
@@ -45,8 +47,12 @@
     assert "whole: 3 records" in run("verify", folder).stdout
 
 
-def test_verify_names_the_damaged_place(folder):
-    """A disk returns a wrong byte; the operator is told what to do."""
+def test_verify_reports_the_damaged_place(folder):
+    """Guards against a damaged disk reported without the next step.
+
+    The disk returns one wrong byte; the error names its place and a hint
+    says what to do next.
+    """
     path = next(folder.glob("log-*"))
     raw = bytearray(path.read_bytes())
     raw[40] ^= 1
@@ -58,18 +64,19 @@
 
 
 def test_new_replica_set_begins_from_a_saved_state(folder, tmp_path):
-    """Two of three replicas are lost for good; the third one's disk is left.
+    """Guards against lost changes after the loss of a majority.
 
-    Everything it holds has to be the start of a new set.
+    Two of three replicas are lost permanently and only the disk of the third
+    is left.  The new replica set has to start with everything on it.
     """
-    saved = tmp_path / "saved"
-    assert run("snapshot", folder, saved).exit_code == 0
-    assert run("snapshot", folder, saved).exit_code == 1
-    new = tmp_path / "new"
+    backup = tmp_path / "saved"
+    assert run("snapshot", folder, backup).exit_code == 0
+    assert run("snapshot", folder, backup).exit_code == 1
+    new_folder = tmp_path / "new"
     options = ("--replica", "i7=10.0.0.7:1", "--replica", "i8=10.0.0.8:1")
-    assert run("restore", saved, new, *options).exit_code == 0
-    assert run("restore", saved, new, *options).exit_code == 1
-    disk = DataFolder(path=new)
+    assert run("restore", backup, new_folder, *options).exit_code == 0
+    assert run("restore", backup, new_folder, *options).exit_code == 1
+    disk = DataFolder(path=new_folder)
     stored = disk.stored
     disk.close()
     assert stored.snapshot.configuration.voter_names == ("i7", "i8")
--- a/currantdeal/cli/tests/test_whole_path.py
+++ b/currantdeal/cli/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A real ``currantdeal serve`` with stand-ins, as its callers see it."""
+"""Tests a real ``currantdeal serve`` with stand-ins from the callers' side."""
 
 import socket
 import threading
@@ -27,9 +27,9 @@
 from currantdeal.testing.standin_client import StandInClient
 from currantdeal.testing.waiting import wait_until
 
-FAST = ("--step-base-s", "0.002", "--step-per-request-s", "0")
+FAST_ENGINE_OPTIONS = ("--step-base-s", "0.002", "--step-per-request-s", "0")
 
-ALL = b"""{"selector": {"name": "all"}, "expected_version": 0,
+SELECT_ALL_BODY = b"""{"selector": {"name": "all"}, "expected_version": 0,
            "request_id": "all", "wait_s": 20}"""
 
 
@@ -37,19 +37,21 @@
 def cluster(tmp_path_factory):
     shape = ClusterShape(instances=spread(1))
     folder = tmp_path_factory.mktemp("whole")
-    with Cluster(folder=folder, shape=shape) as made:
-        made.add_engine("p1", roles=("prefill",))
-        made.add_engine("d1", roles=("decode",))
-        made.add_service("s1")
-        made.start()
-        made.wait_ready()
-        made.wait_upstreams()
+    with Cluster(folder=folder, shape=shape) as new_cluster:
+        new_cluster.add_engine("p1", roles=("prefill",))
+        new_cluster.add_engine("d1", roles=("decode",))
+        new_cluster.add_service("s1")
+        new_cluster.start()
+        new_cluster.wait_ready()
+        new_cluster.wait_upstreams()
         operator = CallerClient(
-            address=made.caller_addresses[0], key=OPERATOR_KEY
+            address=new_cluster.caller_addresses[0], key=OPERATOR_KEY
+        )
+        answer = operator.call(
+            "PUT", "/operator/selectors/all", body=SELECT_ALL_BODY
         )
-        answer = operator.call("PUT", "/operator/selectors/all", body=ALL)
         assert answer.status == 200
-        yield made
+        yield new_cluster
 
 
 @pytest.fixture
@@ -66,7 +68,7 @@
     )
 
 
-def _nothing_held(cluster):
+def _no_memory_held(cluster):
     engines = [cluster.stand_in(name).client for name in ("p1", "d1")]
     return all(not each.held() for each in engines)
 
@@ -116,21 +118,23 @@
 
 
 def test_caller_who_hangs_up_frees_engine_memory(cluster, caller):
-    """A caller closes its connection in the middle of a stream.
+    """Guards against engine memory held for a caller that has disconnected.
 
-    The engine would hold the memory to the last output, for nobody.
+    The caller closes its connection in the middle of a stream.  Without a
+    cancel the engine would hold the memory until the last output.
     """
     stream = caller.open_stream("cake tokens=900", max_tokens=900)
     assert len(stream.read_some(2)) >= 2
     assert cluster.stand_in("d1").client.held()
     stream.hang_up()
-    wait_until(lambda: _nothing_held(cluster), what="free memory", limit_s=5)
+    wait_until(lambda: _no_memory_held(cluster), what="free memory", limit_s=5)
 
 
 def test_stream_on_a_silent_connection_goes_on(cluster, caller):
-    """The connection to the engine goes silent, new ones work.
+    """Guards against a stream that waits forever on a silent connection.
 
-    The caller would wait for ever for the rest of its answer.
+    The open connection to the engine delivers nothing more, while new
+    connections work (gray failure).
     """
     stream = caller.open_stream("cake tokens=60")
     assert len(stream.read_some(2)) >= 2
@@ -138,14 +142,15 @@
     received = stream.read()
     assert received.text == expected_output("cake tokens=60", 60)
     assert received.done
-    wait_until(lambda: _nothing_held(cluster), what="free memory")
+    wait_until(lambda: _no_memory_held(cluster), what="free memory")
 
 
 def test_deadline_that_cannot_be_met_is_refused_at_once(cluster, caller):
-    """A prompt takes longer to read than the caller can wait.
+    """Guards against a prompt read in vain.
 
-    The caller would learn of it only after its deadline, and the engine
-    would read the prompt for nothing.
+    Reading the prompt takes longer than the deadline of the caller.  Without
+    an early refusal the caller would be refused only after its deadline, and
+    the engine would read the prompt for nothing.
     """
     before = cluster.stand_in("p1").client.events()
     answer = caller.complete(
@@ -162,9 +167,9 @@
 
 
 def test_stream_outlives_its_decode_engine(cluster, caller):
-    """A decode engine is killed in the middle of a stream.
+    """Guards against a truncated answer after the loss of a decode engine.
 
-    The caller would get half an answer.
+    The engine is killed in the middle of a stream; another one continues it.
     """
     cluster.add_engine("d2", roles=("decode",))
     cluster.wait_upstreams()
@@ -173,7 +178,7 @@
     held = {
         name: cluster.stand_in(name).client.held() for name in ("d1", "d2")
     }
-    killed = next(name for name, found in held.items() if found)
+    killed = next(name for name, memory in held.items() if memory)
     cluster.stand_in(killed).process.kill()
     received = stream.read()
     assert received.text == expected_output("cake tokens=90", 90)
@@ -181,8 +186,8 @@
 
 
 @pytest.fixture
-def alone(tmp_path, monkeypatch):
-    """Yield a daemon over local ports and the fast engine that it uses."""
+def single_instance(tmp_path, monkeypatch):
+    """Yield a daemon with in-process ports and its fast stand-in engine."""
     monkeypatch.setattr(server_module, "UNSENT_TIMEOUT_S", 1.0)
     monkeypatch.setattr(drain_module, "SEND_TIMEOUT_S", 0.2)
     settings = Settings(
@@ -199,7 +204,13 @@
         settings=settings, ports=ports, clock=clock, metrics=metrics
     )
     daemon.start()
-    options = ["--id", "e1", "--instance", daemon.caller_address, *FAST]
+    options = [
+        "--id",
+        "e1",
+        "--instance",
+        daemon.caller_address,
+        *FAST_ENGINE_OPTIONS,
+    ]
     process = ChildProcess(
         arguments=["-m", "currantdeal.testing.engine", *options],
         log_path=tmp_path / "engine.log",
@@ -211,12 +222,12 @@
     process.kill()
 
 
-def test_planned_stop_finishes_a_stream(alone):
-    """An instance is told to stop while it streams an answer.
+def test_planned_stop_finishes_a_stream(single_instance):
+    """Guards against an answer that a planned stop truncates.
 
-    The caller would get half an answer.
+    The instance is requested to stop while it streams the answer.
     """
-    daemon, engine = alone
+    daemon, engine = single_instance
     caller = CallerClient(address=daemon.caller_address)
     stream = caller.open_stream("cake tokens=800", max_tokens=800)
     assert len(stream.read_some(2)) >= 2
@@ -228,12 +239,13 @@
     assert not engine.held()
 
 
-def test_caller_who_takes_nothing_frees_engine_memory(alone):
-    """A caller's connection stays open but takes no more bytes.
+def test_caller_who_takes_nothing_frees_engine_memory(single_instance):
+    """Guards against engine memory held for a caller that does not read.
 
-    The stream would hold engine memory for as long as its output is.
+    The connection of the caller stays open but accepts no more bytes.  Without
+    a timeout the stream would hold engine memory until its last output.
     """
-    daemon, engine = alone
+    daemon, engine = single_instance
     host, _, port = daemon.caller_address.rpartition(":")
     body = (
         b'{"model": "nube-assistant", "prompt": "cake tokens=4000",'
--- a/currantdeal/cli/upstream_commands.py
+++ b/currantdeal/cli/upstream_commands.py
@@ -1,4 +1,4 @@
-"""``currantdeal upstreams``: list, label and withdraw upstreams."""
+"""Commands ``currantdeal upstreams``: list, label and withdraw upstreams."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 
 from currantdeal.adapters.http.operator import LabelsBody
 from currantdeal.cli.changes import send_change
-from currantdeal.cli.client import path_of
+from currantdeal.cli.client import operator_path
 from currantdeal.cli.errors import CommandError, ExitCode
 from currantdeal.cli.options import with_session, with_wait
 from currantdeal.cli.output import join, print_table
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShownUpstream:
-    """An upstream as the operators' interface shows it."""
+    """An upstream in an answer of the operators' interface."""
 
     upstream: Upstream
     labels: dict[str, str]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamList:
-    """All upstreams at one version of the state."""
+    """Answer with all upstreams at one version of the state."""
 
     version: int
     upstreams: tuple[ShownUpstream, ...]
@@ -50,7 +50,7 @@
 @with_session
 def list_upstreams(session):
     """List upstreams with the labels in force."""
-    session.show(_read(session), _print_upstreams)
+    session.show(_fetch_upstreams(session), _print_upstreams)
 
 
 @upstreams.command()
@@ -59,19 +59,21 @@
 @click.option("--expected-version", type=int, default=None)
 @with_wait
 @with_session
-def label(session, upstream_id, changes, expected_version, **sending):
+def label(session, upstream_id, changes, expected_version, **options):
     """Set labels (NAME=VALUE) and remove them (NAME-).
 
-    The change is refused when somebody else changed the labels since the
-    expected version, which is the present one unless given.
+    The change is refused if the labels were changed after the expected
+    version, which is the current one by default.
     """
     _set_labels(
         session,
         upstream_id,
         expected_version,
-        labels=tuple(_label(text) for text in changes if text[-1:] != "-"),
+        labels=tuple(
+            _parse_label(text) for text in changes if text[-1:] != "-"
+        ),
         removed=tuple(text[:-1] for text in changes if text[-1:] == "-"),
-        **sending,
+        **options,
     )
 
 
@@ -80,37 +82,37 @@
 @click.option("--expected-version", type=int, default=None)
 @with_wait
 @with_session
-def withdraw(session, upstream_id, expected_version, **sending):
-    """Give an upstream no new work, until the label is removed again."""
+def withdraw(session, upstream_id, expected_version, **options):
+    """Stop new work for an upstream until the label is removed again."""
     _set_labels(
         session,
         upstream_id,
         expected_version,
         labels=(Label(name=WITHDRAWN_LABEL, value="yes"),),
         removed=(),
-        **sending,
+        **options,
     )
 
 
 def _set_labels(session, upstream_id, expected_version, **fields):
     if expected_version is None:
-        expected_version = _labels_version(session, upstream_id)
+        expected_version = _current_labels_version(session, upstream_id)
     send_change(
         session,
         "POST",
-        path_of("upstreams", upstream_id, "labels"),
+        operator_path("upstreams", upstream_id, "labels"),
         LabelsBody,
         expected_version=expected_version,
         **fields,
     )
 
 
-def _read(session):
-    return session.client.read(path_of("upstreams"), UpstreamList)
+def _fetch_upstreams(session):
+    return session.client.read(operator_path("upstreams"), UpstreamList)
 
 
-def _labels_version(session, upstream_id):
-    for shown in _read(session).upstreams:
+def _current_labels_version(session, upstream_id):
+    for shown in _fetch_upstreams(session).upstreams:
         if shown.upstream.upstream_id == upstream_id:
             return shown.labels_version
     raise CommandError(
@@ -120,7 +122,7 @@
     )
 
 
-def _label(text):
+def _parse_label(text):
     name, equals, value = text.partition("=")
     try:
         if not equals:
@@ -158,7 +160,7 @@
     load = shown.load
     return (
         upstream.upstream_id,
-        _state(shown),
+        _format_state(shown),
         join(upstream.roles),
         join(upstream.targets),
         upstream.region,
@@ -170,7 +172,7 @@
     )
 
 
-def _state(shown):
+def _format_state(shown):
     if not shown.present:
         return "gone"
     return "withdrawn" if shown.withdrawn else "present"
--- a/currantdeal/cli/wiring.py
+++ b/currantdeal/cli/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the ports of an instance from its settings."""
+"""Builds the production ports of an instance from its settings."""
 
 from functools import partial
 
@@ -11,6 +11,7 @@
 from currantdeal.cli.daemon import Ports, Runner
 
 HAND_OVER_TIMEOUT_S = 5.0
+"""Timeout of each handover at the end of a drain: homes, then the state."""
 
 
 def build_ports(*, settings, clock, metrics):
@@ -19,11 +20,11 @@
     Parameters
     ----------
     settings : Settings
-        Of the instance.
+        Settings of the instance.
     clock : Clock
-        Time.
+        Clock of the replicated state, the membership and the homes.
     metrics : MetricsPort
-        Counters of the instance.
+        Unused; the builders of ports share one signature.
     """
     host, _, port = settings.peer_address.rpartition(":")
     peer_server = PeerServer(host=host, port=int(port))
--- a/currantdeal/tests/scenarios/instances.feature
+++ b/currantdeal/tests/scenarios/instances.feature
@@ -1,6 +1,6 @@
-Feature: Instances fail and callers are served on
-  Callers, engines and the shop must not notice more of a failed instance
-  than that the connections to it break.
+Feature: Callers are served while instances fail
+  A failed instance must have no other effect on callers, engines and the
+  shop than broken connections to it.
 
   Scenario: The home of the engines is killed
     Given 4 instances with callers
--- a/currantdeal/tests/scenarios/test_scenarios.py
+++ b/currantdeal/tests/scenarios/test_scenarios.py
@@ -1,3 +1,5 @@
+"""Steps of the scenarios, each run against a cluster of real processes."""
+
 import shutil
 import threading
 import time
@@ -23,19 +25,19 @@
 
 scenarios("instances.feature", "upstreams.feature")
 
-SHORT_KEEP = TimingSettings(entries_keep_s=0.5)
+SHORT_ENTRIES_CACHE = TimingSettings(entries_keep_s=0.5)
 
 
 @pytest.fixture
 def world(tmp_path):
-    made = World(folder=tmp_path)
-    yield made
-    made.close()
+    new_world = World(folder=tmp_path)
+    yield new_world
+    new_world.close()
 
 
 @given(parsers.parse("{count:d} instances with callers"))
 def _(world, count):
-    world.start(count, timing=SHORT_KEEP)
+    world.start(count, timing=SHORT_ENTRIES_CACHE)
     world.send_load()
 
 
@@ -68,7 +70,7 @@
 
 @when(parsers.parse('the home of "{upstream}" is killed'))
 def _(world, upstream):
-    world.fail(_home(world, upstream))
+    world.fail(_home_of(world, upstream))
 
 
 @when("the leader is killed")
@@ -78,7 +80,7 @@
 
 @when(parsers.parse('the leader and the home of "{upstream}" are killed'))
 def _(world, upstream):
-    for name in {world.leader(), _home(world, upstream)}:
+    for name in {world.leader(), _home_of(world, upstream)}:
         world.fail(name)
 
 
@@ -237,7 +239,7 @@
 @then(parsers.parse('another instance becomes home of "{upstream}"'))
 def _(world, upstream):
     wait_until(
-        lambda: _home(world, upstream) in world.names(),
+        lambda: _home_of(world, upstream) in world.names(),
         what="another home",
         limit_s=LIMIT_S,
     )
@@ -272,7 +274,9 @@
 def _(world):
     for name in world.names():
         wait_until(
-            lambda name=name: _version(world, name) >= world.notes["changed"],
+            lambda name=name: (
+                _version_at(world, name) >= world.notes["changed"]
+            ),
             what=f"change at {name}",
             limit_s=LIMIT_S,
         )
@@ -280,14 +284,16 @@
 
 @then("it never showed an earlier version")
 def _(world):
-    assert _version(world, world.notes["restarted"]) >= world.notes["version"]
+    assert (
+        _version_at(world, world.notes["restarted"]) >= world.notes["version"]
+    )
 
 
 @then("the others take the region's instances for dead")
 def _(world):
     wait_until(
         lambda: all(
-            _believed(world, name, other) == "dead"
+            _member_status(world, name, other) == "dead"
             for name in world.names()
             for other in world.failed
         ),
@@ -301,7 +307,7 @@
     names = list(world.cluster.instances)
     wait_until(
         lambda: all(
-            _believed(world, name, other) == "alive"
+            _member_status(world, name, other) == "alive"
             for name in names
             for other in names
         ),
@@ -364,11 +370,11 @@
     number, _ = _winner(world)
     for instance in world.cluster.instances.values():
         body = instance.operator("/operator/selectors")
-        found = {
+        expressions = {
             one["selector"]["name"]: one["selector"].get("expression")
             for one in body["selectors"]
         }
-        assert found["race"] == _selector(number)["expression"]
+        assert expressions["race"] == _selector(number)["expression"]
 
 
 def _selector(number):
@@ -383,7 +389,7 @@
     )
 
 
-def _home(world, upstream):
+def _home_of(world, upstream):
     body = world.any_instance().operator("/operator/upstreams")
     for one in body["upstreams"]:
         if one["upstream"]["upstream_id"] == upstream and one["home"]:
@@ -391,15 +397,15 @@
     return None
 
 
-def _version(world, name):
+def _version_at(world, name):
     status = world.status(name)
     return status["version"] if status else 0
 
 
-def _believed(world, name, other):
+def _member_status(world, name, other):
     status = world.status(name) or {"members": ()}
-    found = {m["instance"]: m["status"] for m in status["members"]}
-    return found.get(other)
+    statuses = {m["instance"]: m["status"] for m in status["members"]}
+    return statuses.get(other)
 
 
 def _followers(world):
--- a/currantdeal/tests/scenarios/upstreams.feature
+++ b/currantdeal/tests/scenarios/upstreams.feature
@@ -1,5 +1,5 @@
 Feature: Upstreams fail or are withdrawn
-  The partner lends its upstreams and takes them back at short notice.
+  The upstreams belong to a partner, which can withdraw them at short notice.
 
   Scenario: A transfer stalls
     Given 3 instances with callers
--- a/currantdeal/tests/test_imports.py
+++ b/currantdeal/tests/test_imports.py
@@ -1,3 +1,5 @@
+"""Checks which packages import which."""
+
 import ast
 from pathlib import Path
 
@@ -5,8 +7,8 @@
 
 ROOT = Path(currantdeal.__file__).parent
 
-# From inside to outside: a package may import what stands before it.
-ALLOWED = {
+# The packages that each package may import, from the innermost outward.
+ALLOWED_IMPORTS = {
     "core": set(),
     "routing": {"core"},
     "registry": set(),
@@ -81,28 +83,28 @@
 
 
 def test_every_package_is_listed():
-    found = {
+    packages = {
         path.name for path in ROOT.iterdir() if (path / "__init__.py").exists()
     }
-    assert found - {"tests"} == set(ALLOWED)
+    assert packages - {"tests"} == set(ALLOWED_IMPORTS)
 
 
 def test_dependencies_point_inward():
-    wrong = [
+    violations = [
         (str(path.relative_to(ROOT)), package)
-        for name, allowed in ALLOWED.items()
+        for name, allowed in ALLOWED_IMPORTS.items()
         for path in (ROOT / name).rglob("*.py")
         if "tests" not in path.parts
         for package in _imported_packages(path)
-        if package in ALLOWED and package not in allowed | {name}
+        if package in ALLOWED_IMPORTS and package not in allowed | {name}
     ]
-    assert wrong == []
+    assert violations == []
 
 
-def test_only_the_wiring_knows_the_platform():
-    outside = [
+def test_only_cli_and_testing_import_the_platform():
+    importers = [
         name
-        for name, allowed in ALLOWED.items()
+        for name, allowed in ALLOWED_IMPORTS.items()
         if "platform" in allowed and name not in ("cli", "testing")
     ]
-    assert outside == []
+    assert importers == []
