--- a/currantdeal/adapters/clock.py
+++ b/currantdeal/adapters/clock.py
@@ -15,5 +15,5 @@
         return time.time()
 
     def sleep(self, seconds):
-        """Return after the given time."""
+        """Block for the given time."""
         time.sleep(seconds)
--- a/currantdeal/adapters/connections.py
+++ b/currantdeal/adapters/connections.py
@@ -1,10 +1,10 @@
-"""HTTP connections to upstreams.
+"""Sends HTTP requests to upstreams over pooled or new connections.
 
-Pooled connections are for short calls that may be repeated.  Anything whose
+Pooled connections are for short calls that may be repeated.  A request whose
 loss costs more than the round trip of opening a connection (a prefill, a
-call that may not run twice, a resumed stream) goes on a new one: an old
-connection can have gone silent for good while new ones work, and it looks
-sound until it is used.
+call that must not run twice, a resumed stream) gets a new one: a pooled
+connection can be dead while new ones work (gray failure), which only shows
+once it is used.
 
 See Also
 --------
@@ -31,16 +31,16 @@
     UpstreamUnreachableError,
 )
 
-IDLE_AGE_S = 2.0
-"""Idle time after which a pooled connection is not used again.
+MAX_IDLE_AGE_S = 2.0
+"""Idle time after which a pooled connection is not reused.
 
-Engines are asked several times a second while they serve anything, so an
-older connection belongs to a quiet upstream, where one more round trip is
-of no account.
+Engines are called several times a second while they serve requests, so a
+connection idle for longer belongs to an upstream with little load, where one
+more round trip does not matter.
 """
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest wait for a connection; some dozen round trips between regions."""
+"""Connect timeout; some dozen round trips between regions."""
 
 _POOLS = 2048
 _IDLE_PER_ADDRESS = 8
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HttpRequest:
-    """What is sent to an upstream."""
+    """A request to an upstream."""
 
     address: str
     method: str
@@ -63,24 +63,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HttpResponse:
-    """What an upstream answered."""
+    """The answer of an upstream."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
 
-class _AgedPool(urllib3.HTTPConnectionPool):
-    _trusted_from_s = 0.0
+class _ExpiringPool(urllib3.HTTPConnectionPool):
+    _valid_from_s = 0.0
 
-    def distrust(self):
-        """Use no connection again that is idle now."""
-        self._trusted_from_s = time.monotonic()
+    def invalidate_idle(self):
+        """Do not reuse any connection that is idle now."""
+        self._valid_from_s = time.monotonic()
 
     def _get_conn(self, timeout=None):
         conn = super()._get_conn(timeout)
-        oldest_s = max(self._trusted_from_s, time.monotonic() - IDLE_AGE_S)
-        if getattr(conn, "idle_since_s", oldest_s) < oldest_s:
+        valid_from_s = max(
+            self._valid_from_s, time.monotonic() - MAX_IDLE_AGE_S
+        )
+        if getattr(conn, "idle_since_s", valid_from_s) < valid_from_s:
             conn.close()
         return conn
 
@@ -101,28 +103,28 @@
             block=False,
             socket_options=_OPTIONS,
         )
-        self._pools.pool_classes_by_scheme = {"http": _AgedPool}
+        self._pools.pool_classes_by_scheme = {"http": _ExpiringPool}
 
     def open(self, request, *, timeout_s, fresh=False):
-        """Return the response as a stream, its body not yet read.
+        """Send the request and return the response with its body unread.
 
         Parameters
         ----------
         request : HttpRequest
-            What to send.
+            The request.
         timeout_s : float
-            Longest silence, before the response and within it.
+            Longest time without data, before the response and within it.
         fresh : bool
-            True to open a connection for this request alone.
+            True to open a new connection for this request only.
 
         Raises
         ------
         UpstreamUnreachableError
-            If no connection could be opened; nothing ran.
+            If no connection could be opened; the request was not run.
         UpstreamCrashedError
             If the connection broke and the upstream's process has ended.
         UpstreamSilentError
-            If the connection broke or brought nothing; it may have run.
+            If the connection broke or timed out; the request may have run.
         """
         pool = self._fresh(request) if fresh else self._pooled(request)
         timeout = urllib3.Timeout(
@@ -145,17 +147,17 @@
             raise UpstreamUnreachableError(str(exc), ran=Ran.NO) from exc
         except (HTTPError, OSError) as exc:
             self.forget(request.address)
-            raise lost_run(request.address, exc) from exc
+            raise connection_lost_error(request.address, exc) from exc
 
     def fetch(self, request, *, timeout_s, fresh=False):
-        """Return the response with its whole body, as ``HttpResponse``."""
+        """Send the request and return the whole ``HttpResponse``."""
         response = self.open(request, timeout_s=timeout_s, fresh=fresh)
         try:
             body = response.read()
         except (HTTPError, OSError) as exc:
             response.close()
             self.forget(request.address)
-            raise lost_run(request.address, exc) from exc
+            raise connection_lost_error(request.address, exc) from exc
         response.release_conn()
         return HttpResponse(
             status=response.status,
@@ -164,13 +166,13 @@
         )
 
     def forget(self, address):
-        """Close the idle connections to an address.
+        """Stop reusing the idle connections to an address.
 
-        When one connection of a path went silent, the others most likely
-        did too; without this each would cost a timeout of its own.
+        When one connection of a path is dead, the others most likely are
+        too, and each of them would cost another timeout.
         """
         host, _, port = address.rpartition(":")
-        self._pools.connection_from_host(host, int(port)).distrust()
+        self._pools.connection_from_host(host, int(port)).invalidate_idle()
 
     def _pooled(self, request):
         host, _, port = request.address.rpartition(":")
@@ -183,25 +185,27 @@
         )
 
 
-def lost_run(address, failure):
-    """Return the error for a connection that was lost with a request.
+def connection_lost_error(address, failure):
+    """Return the error for a connection lost during a request.
 
-    A connection that ends early may have been reset on its way; only a process
-    that has ended refuses a new one.
+    A connection that ends early may have been reset by the network.  Only if
+    the upstream's process has ended are new connections refused.
     """
-    crashed = not isinstance(failure, ReadTimeoutError) and _refuses(address)
+    crashed = not isinstance(
+        failure, ReadTimeoutError
+    ) and _refuses_connections(address)
     error = UpstreamCrashedError if crashed else UpstreamSilentError
     return error(str(failure), ran=Ran.MAYBE)
 
 
-def _refuses(address):
+def _refuses_connections(address):
     host, _, port = address.rpartition(":")
     try:
         socket.create_connection((host, int(port)), CONNECT_TIMEOUT_S).close()
     except ConnectionRefusedError:
         return True
     except OSError:
-        # It may be cut off, which is no crash.
+        # The upstream may be unreachable, which does not prove a crash.
         return False
     return False
 
--- a/currantdeal/adapters/engines.py
+++ b/currantdeal/adapters/engines.py
@@ -1,6 +1,6 @@
-"""Model engines over HTTP; implements ``ports.EnginePort``.
+"""HTTP client of model engines; implements ``ports.EnginePort``.
 
-The dialect is described in ``docs/protocols.md``.
+The protocol is described in ``docs/protocols.md``.
 """
 
 import msgspec
@@ -9,7 +9,7 @@
 from currantdeal.adapters.connections import (
     Connections,
     HttpRequest,
-    lost_run,
+    connection_lost_error,
 )
 from currantdeal.core import (
     KvExpiredError,
@@ -20,7 +20,7 @@
 from currantdeal.ports import HeldMemory, OutputChunk, PrefillResult
 
 CONTROL_TIMEOUT_S = 1.0
-"""Longest wait for a short control call, such as a cancel."""
+"""Timeout of a short control call, such as a cancel."""
 
 CANCELLED_REASON = "cancelled"
 
@@ -37,7 +37,7 @@
     message: str = ""
 
 
-class _Held(msgspec.Struct):
+class _HeldAnswer(msgspec.Struct):
     held: tuple[HeldMemory, ...] = ()
 
 
@@ -51,24 +51,24 @@
     """
 
     def __init__(self, *, connections=None):
-        """Keep the connections."""
+        """Store the connections, or create some if none are given."""
         self._connections = connections or Connections()
 
     def prefill(self, upstream, request, *, timeout_s):
-        """Compute and keep the KV cache of a prompt."""
+        """Let the engine compute and keep the KV cache of a prompt."""
         body = self._post(
             upstream, "prefill", request, timeout_s=timeout_s, fresh=True
         )
         return _decode(_PREFILLS, body)
 
     def import_kv(self, upstream, request, *, timeout_s):
-        """Fetch a KV cache into the decode engine's memory."""
+        """Let the decode engine fetch a KV cache into its memory."""
         self._post(
             upstream, "import", request, timeout_s=timeout_s, fresh=True
         )
 
     def decode(self, upstream, request, *, silence_s):
-        """Yield output tokens in order, then the end."""
+        """Yield the output chunks in order; the last has a finish reason."""
         response = self._connections.open(
             _post_of(upstream, "decode", request),
             timeout_s=silence_s,
@@ -78,12 +78,12 @@
             if response.status != 200:
                 body = _read_all(response, upstream.address)
                 raise _refusal(response.status, body)
-            yield from _chunks(response, upstream.address)
+            yield from _output_chunks(response, upstream.address)
         finally:
             response.close()
 
     def cancel(self, upstream, request_id):
-        """Free all memory held for a request."""
+        """Cancel a request and free all memory held for it."""
         self._post(
             upstream,
             "cancel",
@@ -92,7 +92,7 @@
         )
 
     def held(self, upstream):
-        """Return what the engine holds."""
+        """Return the memory that the engine holds for requests."""
         request = HttpRequest(
             address=upstream.address, method="GET", path="/engine/held"
         )
@@ -101,7 +101,7 @@
         )
         if response.status != 200:
             raise _refusal(response.status, response.body)
-        return _decode(msgspec.json.Decoder(_Held), response.body).held
+        return _decode(msgspec.json.Decoder(_HeldAnswer), response.body).held
 
     def order(self, upstream, order, fence):
         """Order the engine to load, unload or change its roles."""
@@ -132,11 +132,11 @@
     )
 
 
-def _chunks(response, address):
-    # The shortest path there is for each token: one read brings whatever
-    # events have arrived, and each is decoded straight into its message.
+def _output_chunks(response, address):
+    # Hot path, run for each token: one read returns all events that have
+    # arrived, and each is decoded directly into its message.
     rest = b""
-    for data in _reads(response, address):
+    for data in _read_chunks(response, address):
         *events, rest = (rest + data).split(_EVENT_END)
         for event in events:
             if not event.startswith(_EVENT_START):
@@ -147,27 +147,29 @@
             yield chunk
             if chunk.finish_reason:
                 return
-    raise lost_run(address, "the stream broke off")
+    raise connection_lost_error(
+        address, "the stream ended before its last event"
+    )
 
 
-def _reads(response, address):
-    """Yield what arrives, as it arrives."""
+def _read_chunks(response, address):
+    """Yield the bytes of the body as they arrive."""
     try:
         if response.chunked:
-            # Fewer layers for each read than ``read1`` goes through.
+            # Each read passes through fewer layers than with ``read1``.
             yield from response.read_chunked(decode_content=False)
             return
         while data := response.read1(_READ_BYTES):
             yield data
     except (HTTPError, OSError) as exc:
-        raise lost_run(address, exc) from exc
+        raise connection_lost_error(address, exc) from exc
 
 
 def _read_all(response, address):
     try:
         return response.read()
     except (HTTPError, OSError) as exc:
-        raise lost_run(address, exc) from exc
+        raise connection_lost_error(address, exc) from exc
 
 
 def _decode(decoder, raw):
@@ -175,19 +177,19 @@
         return decoder.decode(raw)
     except msgspec.MsgspecError as exc:
         raise UpstreamRefusedError(
-            f"not an answer of an engine: {exc}", ran=Ran.MAYBE
+            f"invalid answer of the engine: {exc}", ran=Ran.MAYBE
         ) from exc
 
 
 def _refusal(status, body):
     try:
-        told = msgspec.json.decode(body, type=_Refusal)
+        refusal = msgspec.json.decode(body, type=_Refusal)
     except msgspec.MsgspecError:
-        told = _Refusal(message=f"status {status}")
-    message = f"{told.error}: {told.message}"
-    if told.error == "stale-fence":
+        refusal = _Refusal(message=f"status {status}")
+    message = f"{refusal.error}: {refusal.message}"
+    if refusal.error == "stale-fence":
         return StaleFenceError(message, ran=Ran.NO)
-    if told.error == "kv-expired":
+    if refusal.error == "kv-expired":
         return KvExpiredError(message, ran=Ran.NO)
-    ran = Ran.NO if 400 <= status < 500 and told.error else Ran.MAYBE
+    ran = Ran.NO if 400 <= status < 500 and refusal.error else Ran.MAYBE
     return UpstreamRefusedError(message, ran=ran)
--- a/currantdeal/adapters/errors.py
+++ b/currantdeal/adapters/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the adapters that are not seen through a port."""
+"""Errors of the adapters that are not part of a port."""
 
 from currantdeal.core import CurrantdealError
 
@@ -8,17 +8,17 @@
 
 
 class PeerError(AdapterError):
-    """A call to another instance brought no answer.
+    """A call to another instance was not answered.
 
     Parameters
     ----------
     message : str
-        What went wrong, for logs.
+        Cause, for logs.
     sent : bool
         True when the other instance may have received the call.
     """
 
     def __init__(self, message, *, sent):
-        """Keep the message and whether the call may have arrived."""
+        """Store the message and whether the call may have arrived."""
         super().__init__(message)
         self.sent = sent
--- a/currantdeal/adapters/gossip.py
+++ b/currantdeal/adapters/gossip.py
@@ -1,8 +1,8 @@
-"""Membership over UDP; implements ``ports.MembersPort``.
+"""SWIM membership over UDP; implements ``ports.MembersPort``.
 
-One datagram carries one message.  Compared with Thrift over TCP, a probe of
-a random member needs no connection, and a lost datagram is what the protocol
-expects anyway; see docs/design/0005-membership.md for the measurement.
+One datagram carries one message.  Unlike Thrift over TCP, a probe of a
+random member needs no connection, and the protocol tolerates lost datagrams
+anyway; docs/design/0005-membership.md compares the two.
 """
 
 import contextlib
@@ -28,18 +28,18 @@
 
 TICK_S = 0.1
 MAX_DATAGRAM = 65_507
-RECEIVE_S = 0.5
-"""Longest wait in one receive; closing a socket does not end its wait."""
+RECEIVE_TIMEOUT_S = 0.5
+"""Timeout of one receive; closing the socket does not interrupt it."""
 
-LOAD_STEP = 0.05
-"""Smallest change of load that is told; finer news would crowd out others."""
+MIN_LOAD_CHANGE = 0.05
+"""Smallest announced load change; finer ones would crowd out other news."""
 
 _log = structlog.get_logger(__name__)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Traffic:
-    """Datagrams and bytes since the start."""
+    """Numbers of datagrams and bytes since the start."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -69,7 +69,7 @@
 
 
 class _GossipActor(pykka.ThreadingActor):
-    """Owns the membership; everything else sends it messages."""
+    """Owns the membership table; other threads send it messages."""
 
     use_daemon_thread = True
 
@@ -83,13 +83,13 @@
 
     def on_receive(self, message):
         try:
-            self._take(message)
+            self._process(message)
         except Exception:
-            # The actor would end with the error, and the instance would
-            # believe for good what it believes now.
-            _log.exception("membership message failed")
+            # An unhandled exception would end the actor, and this instance's
+            # view of the membership would never change again.
+            _log.exception("failed to handle a membership message")
 
-    def _take(self, message):
+    def _process(self, message):
         now_s = self._clock.monotonic_s()
         self._transmit(self._handle(message, now_s))
         if self._swim.version != self._published:
@@ -103,7 +103,7 @@
             case _Received(raw=raw):
                 return self._receive(raw, now_s)
             case _Change():
-                self._swim.update(now_s=now_s, **_changes(message))
+                self._swim.update(now_s=now_s, **_changed_fields(message))
                 return ()
             case _Leave():
                 return self._swim.leave(now_s)
@@ -113,28 +113,28 @@
         try:
             return self._swim.receive(decode_message(raw), now_s)
         except (WireError, CodecError):
-            # Anybody can send a datagram here; what is no message is as
-            # good as lost.
+            # Any host can send datagrams to this port; an invalid one is
+            # treated as lost.
             return ()
 
 
 class Gossip:
-    """Membership as this instance believes it.
+    """Membership of the cluster as seen by this instance.
 
     Parameters
     ----------
     me : Member
         This instance; its incarnation is set from the clock.
     seeds : tuple of str
-        Peer addresses through which to join.
+        Peer addresses of the instances to join through.
     routes : dict of InstanceId to str
         Addresses to use in place of the advertised ones.
     bind : tuple of (str, int)
-        Address to receive on.
+        Address to bind the UDP socket to.
     timing : SwimTiming
-        Intervals.
+        Intervals of the SWIM protocol.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(self, *, me, seeds, routes, bind, timing, clock):
@@ -143,7 +143,7 @@
         self._clock = clock
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind(bind)
-        self._socket.settimeout(RECEIVE_S)
+        self._socket.settimeout(RECEIVE_TIMEOUT_S)
         self._swim = Swim(
             me=me,
             seeds=seeds,
@@ -153,7 +153,7 @@
         )
         self._members = self._swim.members()
         self._by_name = {m.instance: m for m in self._members}
-        self._told_load = 0.0
+        self._announced_load = 0.0
         self._traffic = Traffic()
         self._received = Traffic()
         self._stopped = threading.Event()
@@ -165,7 +165,7 @@
         return self._socket.getsockname()[1]
 
     def start(self):
-        """Join the others."""
+        """Join the other instances."""
         self._actor = _GossipActor.start(
             swim=self._swim,
             clock=self._clock,
@@ -176,7 +176,7 @@
             threading.Thread(target=target, name="gossip", daemon=True).start()
 
     def stop(self):
-        """Tell some others of the planned stop and end."""
+        """Notify some other instances of the planned stop, then stop."""
         if self._actor is None:
             return
         with contextlib.suppress(pykka.ActorDeadError, pykka.Timeout):
@@ -194,27 +194,27 @@
         return self._by_name.get(instance)
 
     def peer_address(self, instance):
-        """Return where to reach an instance, or an empty string."""
+        """Return an instance's peer address, or an empty string."""
         member = self.member(instance)
         advertised = member.peer_address if member else ""
         return self._routes.get(instance, advertised)
 
     def set_ready(self):
-        """Tell the others that callers may be sent to this instance."""
-        self._tell(_Change(draining=False))
+        """Announce that this instance accepts callers."""
+        self._enqueue(_Change(draining=False))
 
     def set_draining(self):
-        """Tell the others that this instance takes no more callers."""
-        self._tell(_Change(draining=True))
+        """Announce that this instance accepts no more callers."""
+        self._enqueue(_Change(draining=True))
 
     def set_load(self, load):
-        """Tell the others this instance's load, if it changed enough."""
-        if abs(load - self._told_load) >= LOAD_STEP:
-            self._told_load = load
-            self._tell(_Change(load=load))
+        """Announce the load of this instance, if it changed enough."""
+        if abs(load - self._announced_load) >= MIN_LOAD_CHANGE:
+            self._announced_load = load
+            self._enqueue(_Change(load=load))
 
     def traffic(self):
-        """Return what was sent and received since the start."""
+        """Return the traffic sent and received since the start."""
         return Traffic(
             sent=self._traffic.sent,
             sent_bytes=self._traffic.sent_bytes,
@@ -222,13 +222,13 @@
             received_bytes=self._received.received_bytes,
         )
 
-    def _tell(self, message):
+    def _enqueue(self, message):
         with contextlib.suppress(pykka.ActorDeadError):
             self._actor.tell(message)
 
     def _tick(self):
         while not self._stopped.is_set():
-            self._tell(_Tick())
+            self._enqueue(_Tick())
             self._stopped.wait(TICK_S)
 
     def _receive(self):
@@ -236,8 +236,8 @@
             try:
                 raw = self._socket.recv(MAX_DATAGRAM)
             except (ConnectionError, TimeoutError):
-                # The kernel may tell that an earlier datagram found no
-                # listener; that instance is down, this socket is not.
+                # The kernel may report that an earlier datagram found no
+                # listener.  That instance is down; this socket still works.
                 continue
             except OSError:
                 return
@@ -245,7 +245,7 @@
                 received=self._received.received + 1,
                 received_bytes=self._received.received_bytes + len(raw),
             )
-            self._tell(_Received(raw=raw))
+            self._enqueue(_Received(raw=raw))
 
     def _transmit(self, sends):
         for send in sends:
@@ -277,15 +277,15 @@
 
 
 def build_members(*, settings, clock):
-    """Return the membership of an instance, to be started and stopped.
+    """Build the membership of an instance; the caller starts and stops it.
 
     Parameters
     ----------
     settings : Settings
-        The instance's settings; it receives on the UDP port with the number
-        of its peer port.
+        The instance's settings; the UDP port has the number of the peer
+        port.
     clock : Clock
-        Time.
+        Source of time.
     """
     host, _, port = settings.peer_address.rpartition(":")
     me = Member(
@@ -313,6 +313,6 @@
     )
 
 
-def _changes(change):
+def _changed_fields(change):
     found = {"draining": change.draining, "load": change.load}
     return {name: value for name, value in found.items() if value is not None}
--- a/currantdeal/adapters/homes.py
+++ b/currantdeal/adapters/homes.py
@@ -1,4 +1,9 @@
-"""Reservations wherever the upstream's home is; implements ``HomesPort``."""
+"""Reserves upstream memory at the upstream's home; implements ``HomesPort``.
+
+The home of an upstream is the instance that keeps the ledger of its memory
+reservations.  An entry is an instance that serves a caller's request and
+reserves memory for it.  Every instance is both.
+"""
 
 import threading
 from functools import partial
@@ -23,38 +28,40 @@
 )
 
 TICK_S = 0.2
-TRY_S = 0.5
-"""Longest wait for one answer of a home; a silent one is asked again."""
+RESERVE_TIMEOUT_S = 0.5
+"""Timeout of one reserve call; a home that does not answer is retried."""
+
+MOVING_RETRY_S = 0.02
+"""Pause between attempts while the home is changing."""
 
-MOVING_S = 0.02
-GROW_S = 0.3
-POLL_S = 0.05
+GROW_TIMEOUT_S = 0.3
+HAND_OVER_POLL_S = 0.05
 WORK_THREADS = 12
 
 
 class HomeClient:
-    """Reservations of this instance as an entry, and its own homes.
+    """Makes reservations for this instance and runs the homes it keeps.
 
     Parameters
     ----------
     instance : InstanceId
         This instance.
     process : int
-        Start of this process.
+        Incarnation number of this process.
     state, members, clock
         The ports of those names.
     book : GrantBook
-        What this instance holds.
+        Grants that this instance holds as an entry.
     calls : HomeCalls
-        Calls to homes.
+        Client for calls to homes.
     links : HomeLinks
-        Heartbeats to homes.
+        Sends heartbeats to homes.
     server : HomesServer
-        Answers calls of others.
+        Answers calls of other instances.
     work : HomeWork
-        Blocking work of the own homes.
+        Runs blocking operations for the homes of this instance.
     start_actor : callable
-        Starts the actor that keeps the own homes.
+        Starts the actor that owns the homes of this instance.
     """
 
     def __init__(
@@ -72,7 +79,7 @@
         work,
         start_actor,
     ):
-        """Keep the parts; nothing runs before ``start``."""
+        """Store the collaborators; nothing runs before ``start``."""
         self._instance = instance
         self._process = process
         self._state = state
@@ -88,7 +95,7 @@
         self._stopped = threading.Event()
 
     def start(self):
-        """Take part: take homes, answer others, renew what is held."""
+        """Start to take homes, answer calls and renew the held grants."""
         self._actor = self._start_actor()
         self._work.start(self._actor.tell)
         self._server.attach(self._actor)
@@ -98,7 +105,7 @@
         ).start()
 
     def stop(self):
-        """End at once; call ``hand_over`` before in a planned stop."""
+        """Stop at once; in a planned stop call ``hand_over`` first."""
         self._stopped.set()
         self._links.stop()
         self._work.stop()
@@ -106,23 +113,23 @@
             self._actor.stop(block=False)
 
     def hand_over(self, *, timeout_s):
-        """Give all homes to others; return whether none is left here.
+        """Move all homes to other instances; return whether none is left.
 
-        Reservations go on at the new homes, and this instance may still
+        Reservations continue at the new homes, and this instance may still
         reserve there for the requests that it finishes.
         """
         self._actor.tell(HandOver())
         end_s = self._clock.monotonic_s() + timeout_s
-        while self._keeps_homes():
+        while self._keeps_movable_homes():
             if self._clock.monotonic_s() >= end_s:
                 return False
-            self._clock.sleep(POLL_S)
+            self._clock.sleep(HAND_OVER_POLL_S)
         return True
 
     def reserve(self, request, *, timeout_s):
         """Return a grant, or raise ``ReservationError``.
 
-        While the home is changing it is asked again until the time is up.
+        While the home is changing, the call is retried until the timeout.
         """
         end_s = self._clock.monotonic_s() + timeout_s
         while True:
@@ -130,21 +137,24 @@
             if not isinstance(answer, HomeRefusal):
                 return answer
             left_s = end_s - self._clock.monotonic_s()
-            if not answer.moving or left_s <= MOVING_S:
+            if not answer.moving or left_s <= MOVING_RETRY_S:
                 raise ReservationError(
                     f"{request.upstream_id}: {answer.message}",
                     retry_after_s=answer.retry_after_s,
                 )
-            self._clock.sleep(MOVING_S)
+            self._clock.sleep(MOVING_RETRY_S)
 
     def release(self, grant):
-        """Give a grant back; never raises, a lost release is reclaimed."""
+        """Release a grant; never raises.
+
+        The home reclaims the memory if the release is lost.
+        """
         held = self._book.end(grant.upstream_id, grant.request_id)
         home = held.home if held else grant.home
         self._links.release(home, grant.upstream_id, grant.request_id)
 
     def grow(self, grant, *, pieces):
-        """Return whether the grant was enlarged by some pieces."""
+        """Return whether the grant was enlarged by ``pieces``."""
         held = self._book.get(grant.upstream_id, grant.request_id)
         if held is None:
             return False
@@ -154,7 +164,7 @@
             pieces=pieces,
         )
         try:
-            grown = self._calls.grow(held.home, call, timeout_s=GROW_S)
+            grown = self._calls.grow(held.home, call, timeout_s=GROW_TIMEOUT_S)
         except PeerError:
             return False
         if grown:
@@ -162,52 +172,56 @@
         return grown
 
     def refresh(self, grant):
-        """Return the grant as its present home knows it, None if lost."""
+        """Return the grant as held at the present home, None if lost."""
         held = self._book.get(grant.upstream_id, grant.request_id)
         return held.grant if held else None
 
     def load(self, upstream_id):
-        """Return the last known load; lagged, and None when unknown."""
+        """Return the last reported load, which may be stale, or None."""
         return self._links.load(upstream_id)
 
     def report_load(self, report):
-        """Take in a renewal with its load and pass it to the home."""
+        """Record an upstream's renewal and load and relay it to the home."""
         self._links.report(report)
 
     def _try_reserve(self, request, end_s):
         home = self._state.view().homes.get(request.upstream_id)
         if home is None:
-            return HomeRefusal(message="no home yet", moving=True)
+            return HomeRefusal(
+                message="the upstream has no home yet", moving=True
+            )
         self._book.ask(request, home=home.instance, fence=home.fence)
-        left_s = max(MOVING_S, end_s - self._clock.monotonic_s())
+        left_s = max(MOVING_RETRY_S, end_s - self._clock.monotonic_s())
         call = ReserveCall(process=self._process, request=request)
         try:
             answer = self._calls.reserve(
-                home.instance, call, timeout_s=min(TRY_S, left_s)
+                home.instance, call, timeout_s=min(RESERVE_TIMEOUT_S, left_s)
             )
         except PeerError as exc:
-            self._give_up(request, home, sent=exc.sent)
-            return HomeRefusal(message=f"home silent: {exc}", moving=True)
+            self._abandon(request, home, sent=exc.sent)
+            return HomeRefusal(
+                message=f"the home did not answer: {exc}", moving=True
+            )
         if isinstance(answer, HomeRefusal):
             self._book.end(request.upstream_id, request.request_id)
             return answer
-        return self._note(answer)
+        return self._record_grant(answer)
 
-    def _note(self, grant):
+    def _record_grant(self, grant):
         self._book.granted(grant)
         held = self._book.get(grant.upstream_id, grant.request_id)
         return held.grant if held and held.grant else grant
 
-    def _give_up(self, request, home, *, sent):
+    def _abandon(self, request, home, *, sent):
         self._book.end(request.upstream_id, request.request_id)
         if sent:
-            # The home may have granted it; the memory would stay reserved
-            # until the digests are compared.
+            # The home may have granted the request.  Without a release the
+            # memory would stay reserved until the digests are compared.
             self._links.release(
                 home.instance, request.upstream_id, request.request_id
             )
 
-    def _keeps_homes(self):
+    def _keeps_movable_homes(self):
         state = self._state.view()
         others = [
             member
@@ -232,18 +246,19 @@
 def build_homes(
     *, settings, clock, state, members, engines, peer_server, peer_pool
 ):
-    """Return the homes of an instance, to be started and stopped.
+    """Build the homes of an instance; the caller starts and stops them.
 
     Parameters
     ----------
     settings : Settings
         The instance's settings.
     clock, state, members, engines
-        The ports of those names; members as ``build_members`` returns it.
+        The ports of those names; ``members`` as returned by
+        ``build_members``.
     peer_server : PeerServer
-        The service is registered there.
+        Listener on which the service is registered.
     peer_pool : PeerPool
-        Calls to other instances go through it.
+        Connections for calls to other instances.
 
     Returns
     -------
@@ -271,7 +286,7 @@
         book=book,
         calls=calls,
         members=members,
-        beat_s=settings.timing.renew_s,
+        heartbeat_s=settings.timing.renew_s,
         silence_s=settings.timing.lease_s,
     )
     work = HomeWork(
@@ -297,7 +312,7 @@
             members=members,
             work=work,
             output_gap_s=settings.timing.output_gap_s,
-            limits=_limits_of(settings.timing),
+            limits=_build_limits(settings.timing),
         ),
     )
 
@@ -309,7 +324,7 @@
     return members.peer_address(name) or replicas.get(name, "")
 
 
-def _limits_of(timing):
+def _build_limits(timing):
     return BookLimits(
         entry_silence_s=timing.lease_s,
         upstream_silence_s=timing.upstream_silence_s,
--- a/currantdeal/adapters/homes_actor.py
+++ b/currantdeal/adapters/homes_actor.py
@@ -1,4 +1,8 @@
-"""Actor that keeps the ledgers of the upstreams whose home is here."""
+"""Actor that owns the upstreams whose home is this instance.
+
+The home of an upstream is the instance that keeps the ledger of its memory
+reservations.
+"""
 
 from collections import defaultdict
 from functools import singledispatchmethod
@@ -7,17 +11,17 @@
 import structlog
 
 from currantdeal.adapters.homes_messages import (
-    CheckFailed,
-    ClaimsTaken,
-    FormerEnded,
+    ClaimsCollected,
+    FormerHomeStopped,
     HandOver,
-    HeldTaken,
+    HeldCheckFailed,
+    HeldReported,
     MoveEnded,
     OrderEnded,
     RetireEnded,
     Tick,
 )
-from currantdeal.adapters.homes_orders import OrderDesk
+from currantdeal.adapters.homes_orders import OrderExecutor
 from currantdeal.core import UpstreamKind
 from currantdeal.membership import (
     GrowCall,
@@ -32,24 +36,29 @@
     Sync,
 )
 
-HELD_CHECK_S = 1.0
-"""Interval between checks of what an engine holds.
+HELD_CHECK_INTERVAL_S = 1.0
+"""Interval between checks of the memory that an engine holds.
 
-With the silence of an entry, memory that nobody holds is found within three
-seconds of the five that are promised.
+Together with the silence timeout of an entry, orphaned memory is found within
+three of the promised five seconds.
 """
 
 SETTLE_S = 10.0
+"""Time that an instance must be alive before it may be given a home."""
+
 ABSENCE_S = 0.7
+"""Time that a once seen instance must be gone before its homes are taken."""
+
 UNSEEN_S = 3.0
+"""The same for an instance that was never seen, counted from the start."""
 
-_ASKED = (ReserveCall, GrowCall, Sync)
+_REQUESTS = (ReserveCall, GrowCall, Sync)
 
 _log = structlog.get_logger(__name__)
 
 
 class HomesActor(pykka.ThreadingActor):
-    """Owns the homes; nothing it does waits for another instance.
+    """Owns the homes of this instance and never waits for another one.
 
     Parameters
     ----------
@@ -58,15 +67,15 @@
     state : StatePort
         The replicated state.
     members : MembersPort
-        Who is alive.
+        The known instances and their status.
     work : HomeWork
-        Does what takes time.
+        Runs blocking operations.
     clock : Clock
-        Time.
+        Source of time.
     output_gap_s : float
         Longest time between outputs that decoding should keep, in seconds.
     limits : BookLimits
-        When others are given up.
+        Silence timeouts of entries and upstreams.
     """
 
     use_daemon_thread = True
@@ -103,24 +112,26 @@
             now_s=now_s,
         )
         self._planner = HomePlanner()
-        self._orders = OrderDesk(work=work)
+        self._orders = OrderExecutor(work=work)
         self._leaving = False
         self._moving = set()
         self._retiring = set()
         self._check_due_s = {}
 
     def on_receive(self, message):
-        """Handle one message at its time."""
+        """Handle one message at the current time."""
         try:
             return self._handle(message, self._clock.monotonic_s())
         except Exception:
-            if isinstance(message, _ASKED):
+            if isinstance(message, _REQUESTS):
                 raise
-            # An actor ends with the first error of a message that nobody
-            # waits for.  The instance would go on living, and with it its
-            # homes, which nobody would take over and nobody could reserve
-            # at.
-            _log.exception("home message failed", message=repr(message))
+            # An unhandled exception in a message without a waiting sender
+            # ends the actor.  The instance would stay alive and keep its
+            # homes: no other instance would take them over, and every
+            # reservation at them would fail.
+            _log.exception(
+                "home actor failed to handle a message", message=repr(message)
+            )
             return None
 
     @singledispatchmethod
@@ -162,17 +173,17 @@
 
     @_handle.register
     def _(self, message: Tick, now_s):
-        listening = self._state.lease_remaining_s() > 0
-        self._book.excuse_if_paused(now_s, listening=listening)
+        has_lease = self._state.lease_remaining_s() > 0
+        self._book.excuse_if_paused(now_s, listening=has_lease)
         self._book.follow(self._state.view(), now_s)
         self._presence.observe(self._members.members(), now_s)
-        if not listening:
+        if not has_lease:
             return
         self._plan(now_s)
         self._cancel_all(self._book.silent_entries(now_s))
         self._retire_silent(now_s)
         self._check_engines(now_s)
-        self._orders.carry(self._state.view(), self._book, now_s)
+        self._orders.start_due(self._state.view(), self._book, now_s)
 
     @_handle.register
     def _(self, message: MoveEnded, now_s):
@@ -184,18 +195,20 @@
         home = self._book.take(record.upstream, message.fence, now_s)
         _log.info("home taken", upstream=name, fence=message.fence)
         if message.move.former:
-            self._work.await_former(home, message.move.former, message.version)
+            self._work.await_former_home(
+                home, message.move.former, message.version
+            )
         else:
             self._reconcile(home)
 
     @_handle.register
-    def _(self, message: FormerEnded, now_s):
+    def _(self, message: FormerHomeStopped, now_s):
         home = self._book.get(message.upstream_id, message.fence)
         if home is not None:
             self._reconcile(home)
 
     @_handle.register
-    def _(self, message: ClaimsTaken, now_s):
+    def _(self, message: ClaimsCollected, now_s):
         home = self._book.get(message.upstream_id, message.fence)
         if home is None:
             return
@@ -205,15 +218,15 @@
         home.advance(Phase.OPEN)
 
     @_handle.register
-    def _(self, message: HeldTaken, now_s):
-        self._check_due_s[message.upstream_id] = now_s + HELD_CHECK_S
+    def _(self, message: HeldReported, now_s):
+        self._check_due_s[message.upstream_id] = now_s + HELD_CHECK_INTERVAL_S
         home = self._book.get(message.upstream_id, message.fence)
         if home is not None and home.phase is Phase.OPEN:
             self._cancel_orphans(home, message.held)
 
     @_handle.register
-    def _(self, message: CheckFailed, now_s):
-        self._check_due_s[message.upstream_id] = now_s + HELD_CHECK_S
+    def _(self, message: HeldCheckFailed, now_s):
+        self._check_due_s[message.upstream_id] = now_s + HELD_CHECK_INTERVAL_S
 
     @_handle.register
     def _(self, message: OrderEnded, now_s):
@@ -225,7 +238,9 @@
 
     def _refusal(self, upstream_id):
         if self._state.lease_remaining_s() <= 0:
-            return HomeRefusal(message="no lease on the view", moving=True)
+            return HomeRefusal(
+                message="no lease on the replicated state", moving=True
+            )
         view = self._state.view()
         record = view.upstreams.get(upstream_id)
         if record is None or not record.present or record.withdrawn:
@@ -241,14 +256,14 @@
             home.advance(Phase.OPEN)
             return
         home.advance(Phase.RECONCILING)
-        self._work.take_claims(home)
+        self._work.collect_claims(home)
 
     def _plan(self, now_s):
         state = self._state.view()
         draining = set(state.draining)
         if self._leaving:
             draining.add(self._instance)
-        around = Surroundings(
+        surroundings = Surroundings(
             me=self._instance,
             members=self._members.members(),
             draining=frozenset(draining),
@@ -257,7 +272,7 @@
                 {home.instance for home in state.homes.values()}, now_s
             ),
         )
-        for move in self._planner.plan(state, self._book.fences, around):
+        for move in self._planner.plan(state, self._book.fences, surroundings):
             if move.upstream_id not in self._moving:
                 self._moving.add(move.upstream_id)
                 self._start_move(move)
@@ -265,16 +280,17 @@
     def _start_move(self, move):
         home = self._book.get(move.upstream_id)
         if home is not None:
-            # Nothing may be granted that the next home is not told of.
+            # From here on nothing may be granted, since the next home would
+            # not learn of the grant.
             home.advance(Phase.GIVEN)
         self._work.move(move)
 
     def _retire_silent(self, now_s):
-        for silence in self._book.silent_upstreams(now_s):
-            record = self._state.view().upstreams[silence.upstream_id]
-            if record.present and silence.upstream_id not in self._retiring:
-                self._retiring.add(silence.upstream_id)
-                self._work.retire(silence)
+        for silent in self._book.silent_upstreams(now_s):
+            record = self._state.view().upstreams[silent.upstream_id]
+            if record.present and silent.upstream_id not in self._retiring:
+                self._retiring.add(silent.upstream_id)
+                self._work.retire(silent)
 
     def _check_engines(self, now_s):
         for home in self._book.homes(Phase.OPEN):
@@ -290,7 +306,7 @@
         names = tuple(one.request_id for one in home.orphans(held))
         if names:
             _log.info(
-                "cancelled memory held for nobody",
+                "cancelled orphaned requests",
                 upstream=home.upstream.upstream_id,
                 requests=names,
             )
@@ -298,8 +314,8 @@
 
     def _cancel_all(self, cancels):
         if self._state.lease_remaining_s() <= 0:
-            # Another instance may be home by now and may have adopted the
-            # requests; whatever is left over its check will find.
+            # Another instance may have become home and adopted the requests.
+            # Its check of held memory finds any that are left over.
             return
         by_upstream = defaultdict(list)
         for cancel in cancels:
--- a/currantdeal/adapters/homes_links.py
+++ b/currantdeal/adapters/homes_links.py
@@ -1,8 +1,8 @@
-"""Heartbeats of this instance, as an entry, to the homes it deals with.
+"""Sends the heartbeats of this instance, as an entry, to homes.
 
-One heartbeat renews everything held at a home and carries the releases and
-load reports that wait for it.  Releases are sent within a few milliseconds,
-because the memory they free is what the next request waits for.
+One heartbeat renews all grants held at a home and carries the pending
+releases and load reports.  Releases are sent within a few milliseconds,
+because the next request waits for the memory they free.
 """
 
 import random
@@ -21,15 +21,17 @@
     encode_loads,
 )
 
-BATCH_S = 0.005
-IDLE_HOMES = 16
-"""Homes without grants that are kept in touch with, for their loads."""
+RELEASE_BATCH_S = 0.005
+"""Delay of a release, within which further ones join the same heartbeat."""
 
-NEAREST_S = 0.5
-"""Interval at which the nearest homes are chosen anew."""
+MAX_IDLE_HOMES = 16
+"""Homes without grants that also get heartbeats, to learn their loads."""
 
-IDLE_FACTOR = 2
-"""So many times longer is the interval at a home where nothing is held."""
+NEAREST_INTERVAL_S = 0.5
+"""Interval at which the nearest homes are selected again."""
+
+IDLE_INTERVAL_FACTOR = 2
+"""Factor of the heartbeat interval at homes where nothing is held."""
 
 SYNC_THREADS = 8
 
@@ -47,28 +49,29 @@
 
 
 class HomeLinks:
-    """Keeps in touch with homes.
+    """Sends heartbeats, releases and load reports to homes.
 
     Parameters
     ----------
     instance : InstanceId
         This instance.
     process : int
-        Start of this process.
+        Incarnation number of this process.
     book : GrantBook
-        What this instance holds.
+        Grants that this instance holds.
     calls : HomeCalls
-        Calls to other instances.
+        Client for calls to other instances.
     members : MembersPort
-        Who is alive.
+        The known instances and their status.
     state : StatePort
-        Says where homes are.
+        Records the home of each upstream.
     clock : Clock
-        Time.
-    beat_s : float
-        Interval of heartbeats.
+        Source of time.
+    heartbeat_s : float
+        Interval between heartbeats.
     silence_s : float
-        Silence of this instance after which a home cancels what it holds.
+        Time without a heartbeat after which a home cancels the grants of this
+        instance.
     """
 
     def __init__(
@@ -81,10 +84,10 @@
         members,
         state,
         clock,
-        beat_s,
+        heartbeat_s,
         silence_s,
     ):
-        """Start without links."""
+        """Start with no links."""
         self._instance = instance
         self._process = process
         self._book = book
@@ -92,12 +95,12 @@
         self._members = members
         self._state = state
         self._clock = clock
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self._silence_s = silence_s
         self._links = {}
         self._loads = {}
         self._passed_on = set()
-        self._holding = set()
+        self._holding_homes = set()
         self._nearest = set()
         self._nearest_due_s = 0.0
         self._lock = threading.Lock()
@@ -108,33 +111,33 @@
         )
 
     def start(self):
-        """Send heartbeats from now on."""
+        """Start the thread that sends heartbeats."""
         threading.Thread(
             target=self._run, name="home-links", daemon=True
         ).start()
 
     def stop(self):
-        """Send nothing more."""
+        """Stop sending heartbeats."""
         self._stopped = True
         self._wake.set()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def release(self, home, upstream_id, request_id):
-        """Give a reservation back with the next heartbeat."""
+        """Release a reservation with the next heartbeat."""
         key = HeldKey(upstream_id=upstream_id, request_id=request_id)
         with self._lock:
             self._link(home).released.append(key)
         self._wake.set()
 
     def report(self, report, *, passed_on=False):
-        """Pass a load report on to the upstream's home.
+        """Relay a load report to the upstream's home.
 
         Parameters
         ----------
         passed_on : bool
-            True when another instance has passed it on already; then it is
-            not passed on once more if the home is silent, or reports to a
-            dead home would go round for good.
+            True when another instance has already relayed the report.  It
+            is then not relayed again if the home is unreachable; otherwise
+            reports to a dead home would circulate forever.
         """
         if passed_on:
             self._passed_on.add(report.upstream_id)
@@ -149,7 +152,7 @@
             link.reports[report.upstream_id] = report
 
     def load(self, upstream_id):
-        """Return the last known load, or None."""
+        """Return the last reported load, or None."""
         return self._loads.get(upstream_id)
 
     def _link(self, home):
@@ -161,21 +164,21 @@
 
     def _run(self):
         while not self._stopped:
-            self._wake.wait(self._beat_s / 4)
+            self._wake.wait(self._heartbeat_s / 4)
             if self._wake.is_set():
                 self._wake.clear()
-                self._clock.sleep(BATCH_S)
+                self._clock.sleep(RELEASE_BATCH_S)
             try:
                 self._send_due(self._clock.monotonic_s())
             except Exception:
-                # Without this thread every grant of this instance runs out
-                # while its streams go on, and homes cancel them.  Once it is
-                # being stopped, the pool takes nothing more.
+                # Without this thread all grants of this instance expire
+                # while their streams are running, and homes cancel them.
+                # During a stop the pool rejects new tasks, which is no error.
                 if not self._stopped:
                     _log.exception("heartbeats failed")
 
     def _send_due(self, now_s):
-        wanted = self._wanted()
+        wanted = self._target_homes()
         with self._lock:
             for home in wanted:
                 self._link(home)
@@ -195,13 +198,13 @@
     def _is_due(self, home, link, now_s):
         if link.released or link.held_wanted:
             return True
-        interval_s = self._beat_s
-        if home not in self._holding and not link.reports:
-            interval_s *= IDLE_FACTOR
+        interval_s = self._heartbeat_s
+        if home not in self._holding_homes and not link.reports:
+            interval_s *= IDLE_INTERVAL_FACTOR
         return now_s >= link.sent_s + interval_s
 
-    def _wanted(self):
-        holding = self._holding = self._book.homes()
+    def _target_homes(self):
+        holding = self._holding_homes = self._book.homes()
         with self._lock:
             waiting = {
                 home
@@ -214,43 +217,44 @@
         now_s = self._clock.monotonic_s()
         if now_s >= self._nearest_due_s:
             # Sorting hundreds of homes ten times a second would take more
-            # processor time than all heartbeats together.
-            self._nearest_due_s = now_s + NEAREST_S
+            # CPU time than all heartbeats together.
+            self._nearest_due_s = now_s + NEAREST_INTERVAL_S
             state = self._state.view()
             found = {m.instance: m for m in self._members.members()}
             homes = {home.instance for home in state.homes.values()}
             nearest = sorted(homes, key=lambda h: self._distance(h, found))
-            self._nearest = set(nearest[:IDLE_HOMES])
+            self._nearest = set(nearest[:MAX_IDLE_HOMES])
         return self._nearest
 
     def _distance(self, home, found):
         member, me = found.get(home), found.get(self._instance)
         if member is None or me is None:
             return 3, home
-        far = (member.data_center != me.data_center) + (
+        distance = (member.data_center != me.data_center) + (
             member.region != me.region
         )
-        return far, home
+        return distance, home
 
     def _sync(self, home, link):
         try:
-            self._exchange(home, link)
+            self._send_heartbeat(home, link)
         except Exception:
-            # A future nobody asks for its result would hide the error.
+            # Nothing reads the result of the future, so the exception would
+            # be lost.
             _log.exception("heartbeat to a home failed", home=home)
         finally:
             link.busy = False
 
-    def _exchange(self, home, link):
-        reports = self._take_reports(link)
-        beat = self._beat(home, link, reports)
+    def _send_heartbeat(self, home, link):
+        reports = self._drain_reports(link)
+        beat = self._build_heartbeat(home, link, reports)
         try:
             answer = self._calls.sync(
                 home, beat, timeout_s=self._silence_s / 2
             )
         except PeerError:
             link.held_wanted = False
-            self._failed(home, reports)
+            self._handle_failure(home, reports)
             return
         link.loads_after = answer.loads_after
         link.held_wanted = answer.list_wanted
@@ -261,12 +265,12 @@
         for key in answer.lost:
             self._book.end(key.upstream_id, key.request_id)
 
-    def _take_reports(self, link):
+    def _drain_reports(self, link):
         with self._lock:
             reports, link.reports = tuple(link.reports.values()), {}
         return reports
 
-    def _beat(self, home, link, reports):
+    def _build_heartbeat(self, home, link, reports):
         with self._lock:
             released, link.released = tuple(link.released), []
         link.sent_s = self._clock.monotonic_s()
@@ -276,22 +280,22 @@
             entry=self._instance,
             process=self._process,
             claims=digest_of(keys),
-            held=_listed(keys) if link.held_wanted else None,
+            held=_held_keys(keys) if link.held_wanted else None,
             released=released,
             reports=encode_loads(reports) if reports else b"",
             loads_after=link.loads_after,
         )
 
-    def _failed(self, home, reports):
-        # Releases are not kept: the digest differs without them, and the
-        # home asks for the list.
-        first_hand = tuple(
+    def _handle_failure(self, home, reports):
+        # Releases are not kept for a retry: without them the digest differs,
+        # and the home requests the full list.
+        direct = tuple(
             report
             for report in reports
             if report.upstream_id not in self._passed_on
         )
-        if first_hand:
-            self._pass_on(home, first_hand)
+        if direct:
+            self._pass_on(home, direct)
 
     def _pass_on(self, home, reports):
         others = [
@@ -312,7 +316,7 @@
             return
 
 
-def _listed(keys):
+def _held_keys(keys):
     return tuple(
         HeldKey(upstream_id=upstream_id, request_id=request_id)
         for upstream_id, request_id in keys
--- a/currantdeal/adapters/homes_messages.py
+++ b/currantdeal/adapters/homes_messages.py
@@ -1,4 +1,4 @@
-"""Messages within one instance to the actor that keeps its homes."""
+"""Messages to the actor that owns the homes of an instance."""
 
 from dataclasses import dataclass
 
@@ -14,24 +14,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Tick:
-    """Time has passed."""
+    """Periodic trigger for planning and checks."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class HandOver:
-    """Give all homes to others and take no more."""
+    """Move all homes to other instances and take no new ones."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class MoveEnded:
-    """A proposal to move a home was answered.
+    """A proposal to move a home has completed.
 
     Parameters
     ----------
     fence : FencingNumber or None
-        The fencing number, if this instance has become home.
+        Fencing number, if this instance has become home.
     version : int
-        Version of the state in which it did.
+        Version of the state in which this instance became home.
     """
 
     move: TakeHome | GiveHome
@@ -40,16 +40,16 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FormerEnded:
-    """The former home of an upstream can grant no more."""
+class FormerHomeStopped:
+    """The former home of an upstream can no longer grant memory."""
 
     upstream_id: UpstreamId
     fence: FencingNumber
 
 
 @dataclass(frozen=True, kw_only=True)
-class ClaimsTaken:
-    """Living entries have told what they hold, and the engine as well."""
+class ClaimsCollected:
+    """Reachable entries and the engine have reported what they hold."""
 
     upstream_id: UpstreamId
     fence: FencingNumber
@@ -58,8 +58,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeldTaken:
-    """The engine has told what it holds."""
+class HeldReported:
+    """The engine has reported the memory it holds."""
 
     upstream_id: UpstreamId
     fence: FencingNumber
@@ -67,20 +67,22 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class CheckFailed:
-    """The engine did not tell what it holds."""
+class HeldCheckFailed:
+    """The engine did not report the memory it holds."""
 
     upstream_id: UpstreamId
 
 
 @dataclass(frozen=True, kw_only=True)
 class OrderEnded:
-    """An engine has answered an order; no status when it has not.
+    """An attempt to execute or record an order has ended.
 
     Parameters
     ----------
+    status : OrderStatus or None
+        Result of the order; None if the engine did not answer.
     recorded : bool
-        True when the end is in the replicated state.
+        True when the result is in the replicated state.
     """
 
     order_id: int
@@ -91,6 +93,6 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RetireEnded:
-    """A proposal to retire an upstream was answered."""
+    """A proposal to retire an upstream has completed."""
 
     upstream_id: UpstreamId
--- a/currantdeal/adapters/homes_orders.py
+++ b/currantdeal/adapters/homes_orders.py
@@ -1,35 +1,35 @@
-"""Carrying engine orders out, at the home of the engine."""
+"""Executes engine orders at the home of the engine."""
 
 from currantdeal.membership import Phase
 from currantdeal.state import OrderKind, OrderStatus
 
 RETRY_S = 1.0
-PATIENCE_S = 60.0
-"""How long running work may delay an order that needs an idle engine."""
+IDLE_WAIT_S = 60.0
+"""Longest delay of an order that waits for the engine to become idle."""
 
 NEEDS_IDLE = (OrderKind.SET_ROLES, OrderKind.UNLOAD)
-"""Orders under which running work would be cut off."""
+"""Kinds of orders that would interrupt running requests."""
 
 
-class OrderDesk:
-    """Orders of the engines whose home is here.
+class OrderExecutor:
+    """Executes the orders of the engines whose home is this instance.
 
     Parameters
     ----------
     work : HomeWork
-        Carries them.
+        Sends the orders to engines and records the results.
     """
 
     def __init__(self, *, work):
-        """Start without orders."""
+        """Start with no orders."""
         self._work = work
-        self._busy = set()
+        self._running = set()
         self._due_s = {}
-        self._seen_s = {}
+        self._first_seen_s = {}
         self._unrecorded = {}
 
-    def carry(self, state, book, now_s):
-        """Start what can be started, in the order in which it was issued."""
+    def start_due(self, state, book, now_s):
+        """Start the orders that can run, in order of issue for each engine."""
         started = set()
         for number in sorted(state.orders):
             record = state.orders[number]
@@ -41,12 +41,12 @@
                 continue
             if record.upstream_id not in started:
                 started.add(record.upstream_id)
-                self._carry_one(home, record, now_s)
+                self._start_one(home, record, now_s)
 
     def ended(self, message, book, now_s):
-        """Take in how an order ended."""
+        """Process the result of an order."""
         number = message.order_id
-        self._busy.discard(number)
+        self._running.discard(number)
         self._due_s[number] = now_s + RETRY_S
         if message.status is None:
             return
@@ -55,21 +55,21 @@
         else:
             self._unrecorded[number] = message
 
-    def _carry_one(self, home, record, now_s):
+    def _start_one(self, home, record, now_s):
         number = record.order_id
-        seen_s = self._seen_s.setdefault(number, now_s)
-        if number in self._busy or now_s < self._due_s.get(number, 0.0):
+        first_seen_s = self._first_seen_s.setdefault(number, now_s)
+        if number in self._running or now_s < self._due_s.get(number, 0.0):
             return
         if number in self._unrecorded:
-            self._busy.add(number)
+            self._running.add(number)
             self._work.record_order(self._unrecorded[number])
             return
         if record.order.kind in NEEDS_IDLE:
             home.close(True)
-            if not home.idle and now_s < seen_s + PATIENCE_S:
+            if not home.idle and now_s < first_seen_s + IDLE_WAIT_S:
                 return
-        self._busy.add(number)
-        self._work.carry_order(home, record)
+        self._running.add(number)
+        self._work.execute_order(home, record)
 
     def _reopen(self, book, upstream_id):
         home = book.get(upstream_id)
@@ -77,6 +77,6 @@
             home.close(False)
 
     def _forget(self, number):
-        self._seen_s.pop(number, None)
+        self._first_seen_s.pop(number, None)
         self._due_s.pop(number, None)
         self._unrecorded.pop(number, None)
--- a/currantdeal/adapters/homes_server.py
+++ b/currantdeal/adapters/homes_server.py
@@ -1,4 +1,4 @@
-"""Answers calls of other instances that concern homes."""
+"""Thrift service that answers calls to the homes and the entry here."""
 
 import pykka
 
@@ -12,26 +12,26 @@
 )
 
 ACTOR_S = 2.0
-"""Longest wait for the actor, which never waits for anybody itself."""
+"""Longest wait for an answer of the actor, which itself never blocks."""
 
 
 class HomesServer:
-    """Implements the Thrift service, and serves this instance's own entry.
+    """Implements the Thrift service; also called directly by the local entry.
 
     Parameters
     ----------
     instance : InstanceId
         This instance.
     process : int
-        Start of this process.
+        Incarnation number of this process.
     book : GrantBook
-        What this instance holds as an entry.
+        Grants that this instance holds as an entry.
     pass_on : callable
-        Takes a load report to its home.
+        Relays a load report to the upstream's home.
     """
 
     def __init__(self, *, instance, process, book, pass_on):
-        """Refuse everything until there is an actor."""
+        """Start without an actor; calls are refused until ``attach``."""
         self._instance = instance
         self._process = process
         self._book = book
@@ -39,50 +39,50 @@
         self._actor = None
 
     def attach(self, actor):
-        """Hand calls to an actor from now on."""
+        """Set the actor that handles calls."""
         self._actor = actor
 
     def reserve(self, raw):
         """Answer the Thrift call ``reserve``."""
-        answer = self.take_reserve(HOME_CODEC.decode(raw))
+        answer = self.handle_reserve(HOME_CODEC.decode(raw))
         if isinstance(answer, HomeRefusal):
             raise HomeRefused(refusal=HOME_CODEC.encode(answer))
         return HOME_CODEC.encode(answer)
 
     def grow(self, raw):
         """Answer the Thrift call ``grow``."""
-        return self.take_grow(HOME_CODEC.decode(raw))
+        return self.handle_grow(HOME_CODEC.decode(raw))
 
     def sync(self, raw):
         """Answer the Thrift call ``sync``."""
-        return HOME_CODEC.encode(self.take_sync(HOME_CODEC.decode(raw)))
+        return HOME_CODEC.encode(self.handle_sync(HOME_CODEC.decode(raw)))
 
     def claims(self, raw):
         """Answer the Thrift call ``claims``."""
-        return HOME_CODEC.encode(self.take_claims(HOME_CODEC.decode(raw)))
+        return HOME_CODEC.encode(self.handle_claims(HOME_CODEC.decode(raw)))
 
     def pass_on(self, raw):
         """Answer the Thrift call ``pass_on``."""
         for report in HOME_CODEC.decode(raw).reports:
             self._pass_on(report)
 
-    def take_reserve(self, call):
+    def handle_reserve(self, call):
         """Return a ``Grant`` or a ``HomeRefusal``."""
         stopped = HomeRefusal(message="the home has stopped", moving=True)
-        return self._ask(call, stopped)
+        return self._ask_actor(call, stopped)
 
-    def take_grow(self, call):
+    def handle_grow(self, call):
         """Return whether a grant was enlarged."""
-        return self._ask(call, False)
+        return self._ask_actor(call, False)
 
-    def take_sync(self, beat):
+    def handle_sync(self, beat):
         """Return the answer to an entry's heartbeat."""
-        return self._ask(beat, SyncAnswer())
+        return self._ask_actor(beat, SyncAnswer())
 
-    def take_claims(self, call):
-        """Return what this instance holds of an upstream.
+    def handle_claims(self, call):
+        """Return the grants that this instance holds on an upstream.
 
-        From here on it renews these reservations at the new home.
+        From now on this instance renews them at the new home.
         """
         held = self._book.adopt(
             call.upstream_id, home=call.home, fence=call.fence
@@ -96,10 +96,10 @@
             ),
         )
 
-    def _ask(self, message, otherwise):
+    def _ask_actor(self, message, default):
         if self._actor is None:
-            return otherwise
+            return default
         try:
             return self._actor.ask(message, timeout=ACTOR_S)
         except (pykka.ActorDeadError, pykka.Timeout):
-            return otherwise
+            return default
--- a/currantdeal/adapters/homes_work.py
+++ b/currantdeal/adapters/homes_work.py
@@ -1,7 +1,8 @@
-"""What a home does that takes time: proposals, engine calls, claims.
+"""Runs the blocking operations of homes: proposals, engine calls, claims.
 
-Everything here blocks, so it runs on a few threads of its own and tells the
-actor when it is done; the actor itself never waits for anybody.
+These operations wait for the replicated state, for engines or for other
+instances.  They run on a small thread pool and notify the actor of their
+results, so that the actor itself never blocks.
 """
 
 import uuid
@@ -11,10 +12,10 @@
 
 from currantdeal.adapters.errors import PeerError
 from currantdeal.adapters.homes_messages import (
-    CheckFailed,
-    ClaimsTaken,
-    FormerEnded,
-    HeldTaken,
+    ClaimsCollected,
+    FormerHomeStopped,
+    HeldCheckFailed,
+    HeldReported,
     MoveEnded,
     OrderEnded,
     RetireEnded,
@@ -40,24 +41,24 @@
     RetireUpstream,
 )
 
-PROPOSE_S = 2.0
-CLAIMS_S = 0.5
-CLAIMS_LIMIT_S = 3.0
-"""Time for which an entry that does not answer is asked again.
+PROPOSE_TIMEOUT_S = 2.0
+CLAIMS_TIMEOUT_S = 0.5
+CLAIMS_RETRY_LIMIT_S = 3.0
+"""Time for which a call to an entry that does not answer is retried.
 
-Longer than a lease, so that an entry that is merely slow gets to answer, and
-short enough that memory of one that is gone is free within five seconds.
+It is longer than a lease, so that a slow entry still gets to answer, and
+short enough that the memory of a dead entry is free within five seconds.
 """
 
-CLAIMS_PAUSE_S = 0.05
-FORMER_POLL_S = 0.05
+CLAIMS_RETRY_PAUSE_S = 0.05
+FORMER_HOME_POLL_S = 0.05
 ACTOR_NAME = "homes"
 
 _log = structlog.get_logger(__name__)
 
 
 class HomeWork:
-    """Blocking work of the homes of one instance.
+    """Runs blocking operations for the homes of one instance.
 
     Parameters
     ----------
@@ -66,21 +67,21 @@
     state : StatePort
         The replicated state.
     members : MembersPort
-        Who is alive.
+        The known instances and their status.
     engines : EnginePort
         Client of engines.
     calls : HomeCalls
-        Calls to other instances.
+        Client for calls to other instances.
     clock : Clock
-        Time.
+        Source of time.
     threads : int
-        Most things done at once.
+        Maximum number of concurrent operations.
     """
 
     def __init__(
         self, *, instance, state, members, engines, calls, clock, threads
     ):
-        """Start without work."""
+        """Create the thread pool, with no operation submitted."""
         self._instance = instance
         self._state = state
         self._members = members
@@ -90,52 +91,53 @@
         self._pool = ThreadPoolExecutor(
             max_workers=threads, thread_name_prefix="homes"
         )
-        self._tell = None
+        self._notify = None
         self._stopped = False
 
-    def start(self, tell):
-        """Tell results to the actor from now on."""
-        self._tell = tell
+    def start(self, notify):
+        """Set the callable that passes results to the actor."""
+        self._notify = notify
 
     def stop(self):
-        """Do nothing more."""
+        """Cancel pending operations and accept no more."""
         self._stopped = True
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def move(self, move):
-        """Propose that a home moves."""
+        """Propose to move a home."""
         self._submit(self._move, move)
 
-    def await_former(self, home, former, version):
-        """Wait until the former home can grant no more."""
-        self._submit(self._await_former, home, former, version)
+    def await_former_home(self, home, former, version):
+        """Wait until the former home can no longer grant memory."""
+        self._submit(self._await_former_home, home, former, version)
 
-    def take_claims(self, home):
-        """Ask living entries and the engine what they hold."""
-        self._submit(self._take_claims, home)
+    def collect_claims(self, home):
+        """Query reachable entries and the engine for what they hold."""
+        self._submit(self._collect_claims, home)
 
     def check_held(self, home):
-        """Ask the engine what it holds."""
+        """Query the engine for the memory it holds."""
         self._submit(self._check_held, home)
 
     def cancel(self, upstream, request_ids):
-        """Cancel some requests on an engine, one after the other.
+        """Cancel requests on an engine, one after the other.
 
-        One thread for each engine at most: an engine that is silent would
-        otherwise hold up what has to be cancelled on all the others.
+        At most one thread is used per engine: otherwise an unresponsive
+        engine would delay the cancellations on all the others (head-of-line
+        blocking).
         """
         self._submit(self._cancel, upstream, request_ids)
 
-    def carry_order(self, home, record):
-        """Carry an order to an engine and record how it ended."""
-        self._submit(self._carry_order, home, record)
+    def execute_order(self, home, record):
+        """Send an order to an engine and record its result."""
+        self._submit(self._execute_order, home, record)
 
     def record_order(self, ended, detail=""):
-        """Record how an order ended."""
+        """Record the result of an order in the replicated state."""
         self._submit(self._record_order, ended, detail)
 
     def retire(self, silence):
-        """Retire an upstream that fell silent."""
+        """Propose to retire an upstream that has stopped renewing."""
         self._submit(self._retire, silence)
 
     def _submit(self, work, *args):
@@ -146,8 +148,9 @@
         try:
             work(*args)
         except Exception:
-            # A future nobody asks for its result would hide the error.
-            _log.exception("home work failed", work=work.__name__)
+            # Nothing reads the result of the future, so the exception would
+            # be lost.
+            _log.exception("home operation failed", work=work.__name__)
 
     def _origin(self):
         return Origin(
@@ -159,41 +162,43 @@
 
     def _propose(self, command):
         try:
-            return self._state.propose(command, timeout_s=PROPOSE_S)
+            return self._state.propose(command, timeout_s=PROPOSE_TIMEOUT_S)
         except PortError:
-            # Whether it was committed shows in the view; the plan follows
-            # the view and proposes again where that is needed.
+            # The view shows whether the command was committed.  The planner
+            # reads the view and proposes again where needed.
             return None
 
     def _move(self, move):
-        given = isinstance(move, GiveHome)
+        giving = isinstance(move, GiveHome)
         result = self._propose(
             AssignHome(
                 origin=self._origin(),
                 upstream_id=move.upstream_id,
-                home=move.to if given else self._instance,
+                home=move.to if giving else self._instance,
                 expected_fence=move.expected_fence,
             )
         )
-        taken = isinstance(result, HomeAssigned) and not given
-        self._tell(
+        became_home = isinstance(result, HomeAssigned) and not giving
+        self._notify(
             MoveEnded(
                 move=move,
-                fence=result.fence if taken else None,
-                version=result.version if taken else 0,
+                fence=result.fence if became_home else None,
+                version=result.version if became_home else 0,
             )
         )
 
-    def _await_former(self, home, former, version):
-        while not self._stopped and not self._former_ended(former, version):
-            self._clock.sleep(FORMER_POLL_S)
-        self._tell(
-            FormerEnded(
+    def _await_former_home(self, home, former, version):
+        while not self._stopped and not self._former_home_stopped(
+            former, version
+        ):
+            self._clock.sleep(FORMER_HOME_POLL_S)
+        self._notify(
+            FormerHomeStopped(
                 upstream_id=home.upstream.upstream_id, fence=home.fence
             )
         )
 
-    def _former_ended(self, former, version):
+    def _former_home_stopped(self, former, version):
         try:
             for progress in self._state.progress():
                 if progress.instance == former:
@@ -201,14 +206,15 @@
                         progress.version >= version
                         or progress.lease_remaining_s <= 0
                     )
-            # The leader does not know the former home; a new leader waits
-            # out the leases of its predecessors before it says this.
-            self._state.wait_in_force(version, timeout_s=PROPOSE_S)
+            # The leader has no record of the former home.  A new leader
+            # waits until the leases granted by its predecessors have expired
+            # before it reports a version as in force.
+            self._state.wait_in_force(version, timeout_s=PROPOSE_TIMEOUT_S)
         except PortError:
             return False
         return True
 
-    def _take_claims(self, home):
+    def _collect_claims(self, home):
         call = ClaimsCall(
             upstream_id=home.upstream.upstream_id,
             home=self._instance,
@@ -219,10 +225,12 @@
             for member in self._members.members()
             if is_reachable(member)
         ]
-        with ThreadPoolExecutor(max_workers=8) as asking:
-            answers = list(asking.map(lambda n: self._ask(n, call), names))
-        self._tell(
-            ClaimsTaken(
+        with ThreadPoolExecutor(max_workers=8) as executor:
+            answers = list(
+                executor.map(lambda n: self._request_claims(n, call), names)
+            )
+        self._notify(
+            ClaimsCollected(
                 upstream_id=call.upstream_id,
                 fence=call.fence,
                 answers=tuple(a for a in answers if a is not None),
@@ -230,21 +238,24 @@
             )
         )
 
-    def _ask(self, name, call):
-        # What an entry holds and does not tell would be given out a second
-        # time, and its streams cancelled on the engine as held for nobody;
-        # so one attempt that got no answer says nothing.
-        end_s = self._clock.monotonic_s() + CLAIMS_LIMIT_S
+    def _request_claims(self, name, call):
+        # Memory that an entry holds but does not report would be granted a
+        # second time, and the entry's streams cancelled on the engine as
+        # orphans.  One unanswered call therefore proves nothing, and the call
+        # is retried.
+        end_s = self._clock.monotonic_s() + CLAIMS_RETRY_LIMIT_S
         while not self._stopped:
             try:
-                return self._calls.claims(name, call, timeout_s=CLAIMS_S)
+                return self._calls.claims(
+                    name, call, timeout_s=CLAIMS_TIMEOUT_S
+                )
             except PeerError:
-                if self._clock.monotonic_s() >= end_s or self._is_gone(name):
+                if self._clock.monotonic_s() >= end_s or self._is_dead(name):
                     return None
-            self._clock.sleep(CLAIMS_PAUSE_S)
+            self._clock.sleep(CLAIMS_RETRY_PAUSE_S)
         return None
 
-    def _is_gone(self, name):
+    def _is_dead(self, name):
         if any(
             member.instance == name and is_reachable(member)
             for member in self._members.members()
@@ -268,10 +279,10 @@
         held = self._held(home)
         name = home.upstream.upstream_id
         if held is None:
-            self._tell(CheckFailed(upstream_id=name))
+            self._notify(HeldCheckFailed(upstream_id=name))
         else:
-            self._tell(
-                HeldTaken(upstream_id=name, fence=home.fence, held=held)
+            self._notify(
+                HeldReported(upstream_id=name, fence=home.fence, held=held)
             )
 
     def _cancel(self, upstream, request_ids):
@@ -279,15 +290,16 @@
             for request_id in request_ids:
                 self._engines.cancel(upstream, request_id)
         except UpstreamError:
-            # The next check of what the engine holds finds it again.
+            # The next check of the engine's held memory finds the requests
+            # again.
             return
 
-    def _carry_order(self, home, record):
+    def _execute_order(self, home, record):
         status, detail = OrderStatus.DONE, ""
         try:
             self._engines.order(home.upstream, record.order, home.fence)
         except StaleFenceError:
-            # Another instance is home by now and carries the order.
+            # Another instance has become home and executes the order.
             status = None
         except UpstreamRefusedError as exc:
             status, detail = OrderStatus.REFUSED, str(exc)
@@ -299,7 +311,7 @@
             status=status,
         )
         if status is None:
-            self._tell(ended)
+            self._notify(ended)
         else:
             self._record_order(ended, detail)
 
@@ -312,7 +324,7 @@
                 detail=detail,
             )
         )
-        self._tell(
+        self._notify(
             OrderEnded(
                 order_id=ended.order_id,
                 upstream_id=ended.upstream_id,
@@ -330,4 +342,4 @@
                 reason="silent",
             )
         )
-        self._tell(RetireEnded(upstream_id=silence.upstream_id))
+        self._notify(RetireEnded(upstream_id=silence.upstream_id))
--- a/currantdeal/adapters/http/__init__.py
+++ b/currantdeal/adapters/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP interface of an instance: callers, upstreams and operators."""
+"""HTTP interface of an instance for callers, upstreams and operators."""
 
 from currantdeal.adapters.http.app import App, Route, Routes
 from currantdeal.adapters.http.server import HttpServer
--- a/currantdeal/adapters/http/app.py
+++ b/currantdeal/adapters/http/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application: routes, keys, and errors turned into answers."""
+"""The WSGI application: routes requests, checks keys, answers errors."""
 
 import re
 from dataclasses import dataclass
@@ -31,11 +31,12 @@
     methods : frozenset of str
         HTTP methods; empty for all.
     pattern : re.Pattern
-        Matches the whole path; its named groups go to the handler.
+        Matched against the whole path; its named groups are passed to the
+        handler.
     handler : callable
-        From a ``Request`` to a ``Response``.
+        Takes a ``Request`` and returns a ``Response``.
     kind : KeyKind or None
-        Kind of key that is needed; None for everybody.
+        Kind of key that is required; None for no key.
     """
 
     methods: frozenset[str]
@@ -45,7 +46,7 @@
 
 
 class Routes:
-    """Collects the endpoints of an instance.
+    """Routing table of an instance.
 
     Examples
     --------
@@ -56,7 +57,7 @@
     """
 
     def __init__(self):
-        """Start with none."""
+        """Start with no routes."""
         self._routes = []
 
     def add(self, methods, pattern, handler, *, kind=None):
@@ -71,53 +72,55 @@
         )
 
     def find(self, method, path):
-        """Return the route and the groups of its pattern."""
-        other = set()
+        """Return the matching route and the groups of its pattern."""
+        allowed_methods = set()
         for route in self._routes:
-            found = route.pattern.fullmatch(path)
-            if found is None:
+            match = route.pattern.fullmatch(path)
+            if match is None:
                 continue
             if not route.methods or method in route.methods:
-                return route, found.groupdict()
-            other |= route.methods
-        if other:
+                return route, match.groupdict()
+            allowed_methods |= route.methods
+        if allowed_methods:
             raise HttpError(
                 405,
                 "wrong-method",
-                f"{method} is not served here",
-                headers=(("Allow", ", ".join(sorted(other))),),
+                f"{method} is not allowed for {path}",
+                headers=(("Allow", ", ".join(sorted(allowed_methods))),),
             )
-        raise not_found(f"nothing is served at {path}")
+        raise not_found(f"no endpoint at {path}")
 
 
 class App:
-    """Turns WSGI calls into requests, and handlers' results into answers.
+    """WSGI application that passes requests to the handlers of routes.
 
     Parameters
     ----------
     routes : Routes
         The endpoints.
     keys : KeyRing
-        Who may ask.
+        Keys that requests are checked against.
     metrics : MetricsPort
-        Counts answers by status.
+        Counts answers by status, and refusals.
     max_body_bytes : int
-        Larger bodies are refused.
+        Requests with larger bodies are refused.
     """
 
     def __init__(self, *, routes, keys, metrics, max_body_bytes):
-        """Keep the parts."""
+        """Store the collaborators."""
         self._routes = routes
         self._keys = keys
         self._metrics = metrics
         self._max_body_bytes = max_body_bytes
 
     def __call__(self, environ, start_response):
-        """Serve one request, as WSGI wants it."""
+        """Serve one request through the WSGI interface."""
         response = self._answer(environ)
         self._metrics.add("http_answers_total", status=str(response.status))
-        phrase = _phrase(response.status)
-        start_response(f"{response.status} {phrase}", list(response.headers))
+        reason_phrase = _status_phrase(response.status)
+        start_response(
+            f"{response.status} {reason_phrase}", list(response.headers)
+        )
         if isinstance(response.body, bytes):
             return [response.body]
         return response.body
@@ -145,18 +148,22 @@
         except CallerGoneError:
             self._metrics.add("callers_gone_total")
             return problem_response(
-                problem(CLIENT_CLOSED_STATUS, "caller-gone", "hung up")
+                problem(
+                    CLIENT_CLOSED_STATUS,
+                    "caller-gone",
+                    "the client closed the connection",
+                )
             )
         except Exception:
-            # A fault in a handler must neither end the thread nor show its
-            # inside to a caller; it is seen in the log and in the counter.
+            # A fault in a handler must not end the thread or expose internals
+            # to the caller; it is logged and counted.
             _log.exception("handler failed", path=environ.get("PATH_INFO"))
             self._metrics.add("handler_faults_total")
             return problem_response(
                 problem(
                     500,
                     "internal",
-                    "the instance failed",
+                    "internal error of the instance",
                     outcome=Outcome.UNKNOWN.value,
                 )
             )
@@ -190,12 +197,12 @@
             raise HttpError(
                 413,
                 "body-too-large",
-                f"at most {self._max_body_bytes} bytes are taken",
+                f"the body exceeds the limit of {self._max_body_bytes} bytes",
             )
         return raw
 
 
-def _phrase(status):
+def _status_phrase(status):
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/currantdeal/adapters/http/auth.py
+++ b/currantdeal/adapters/http/auth.py
@@ -1,4 +1,4 @@
-"""Who may ask for what: API keys, kept as hashes."""
+"""Checks API keys, which are stored as hashes."""
 
 import hashlib
 import ipaddress
@@ -10,9 +10,9 @@
 
 
 class KeyRing:
-    """The keys that the settings name.
+    """The API keys from the settings.
 
-    Without any, only clients on loopback addresses are served.
+    Without any keys, only clients on loopback addresses are served.
 
     Parameters
     ----------
@@ -21,25 +21,31 @@
     """
 
     def __init__(self, *, keys):
-        """Keep the keys by their hashes."""
+        """Index the keys by their hashes."""
         self._by_hash = {key.sha256.lower(): key for key in keys}
 
     @property
     def is_open(self):
-        """True when no keys are needed, from loopback addresses."""
+        """True if no key is required, but only from loopback addresses."""
         return not self._by_hash
 
     def check(self, kind, authorization, client_address):
-        """Return the key shown, None without keys, or raise an error.
+        """Return the presented key, or None if the settings have no keys.
 
         Parameters
         ----------
         kind : KeyKind
-            Kind of key that is needed; another kind is refused.
+            Kind of key that is required; another kind is refused.
         authorization : str
             Value of the ``Authorization`` header.
         client_address : str
             IP number of the client.
+
+        Raises
+        ------
+        HttpError
+            If the key is missing, unknown or of another kind, or if there are
+            no keys and the client is not on a loopback address.
         """
         if self.is_open:
             if not ipaddress.ip_address(client_address).is_loopback:
@@ -57,8 +63,10 @@
                 "send the key as 'Authorization: Bearer KEY'",
                 headers=_CHALLENGE,
             )
-        shown = authorization[len(_BEARER) :].strip()
-        digest = hashlib.sha256(shown.encode("utf-8", "replace")).hexdigest()
+        presented = authorization[len(_BEARER) :].strip()
+        digest = hashlib.sha256(
+            presented.encode("utf-8", "replace")
+        ).hexdigest()
         key = self._by_hash.get(digest)
         if key is None:
             raise HttpError(
--- a/currantdeal/adapters/http/errors.py
+++ b/currantdeal/adapters/http/errors.py
@@ -1,30 +1,30 @@
-"""Errors of the HTTP interface, which become answers."""
+"""Errors of the HTTP interface that are sent as answers."""
 
 from currantdeal.adapters.errors import AdapterError
 from currantdeal.core import Outcome
 
 
 class HttpError(AdapterError):
-    """A request is answered with an error status.
+    """An error that is answered with an HTTP status.
 
     Parameters
     ----------
     status : int
         HTTP status.
     reason : str
-        What is wrong, for programs.
+        Machine-readable cause.
     message : str
-        What is wrong and what to do, for people.
+        Human-readable cause and remedy.
     headers : tuple of tuple
-        Further headers of the answer.
+        Additional headers of the answer.
     outcome : Outcome
-        What is proved of what was asked.
+        What is proved about the execution of the request.
     """
 
     def __init__(
         self, status, reason, message, *, headers=(), outcome=Outcome.NOT_RUN
     ):
-        """Keep what the answer needs."""
+        """Store the parts of the answer."""
         super().__init__(message)
         self.status = status
         self.reason = reason
@@ -33,10 +33,10 @@
 
 
 def bad_request(message, *, reason="bad-request"):
-    """Return the error for a request that makes no sense."""
+    """Return the error for an invalid request."""
     return HttpError(400, reason, message)
 
 
 def not_found(message):
-    """Return the error for something that does not exist."""
+    """Return the error for a resource that does not exist."""
     return HttpError(404, "not-found", message)
--- a/currantdeal/adapters/http/generation.py
+++ b/currantdeal/adapters/http/generation.py
@@ -30,17 +30,17 @@
     service : GenerationService
         Serves the requests.
     view : ServingView
-        Knows the models.
+        Lists the models.
     intake : Intake
-        Builds work.
+        Builds the work of requests.
     in_flight : InFlight
-        Bounds requests.
+        Counts requests in flight and limits their number.
     clock : Clock
-        Dates answers.
+        Source of the time of creation of answers.
     """
 
     def __init__(self, *, service, view, intake, in_flight, clock):
-        """Keep the parts."""
+        """Store the collaborators."""
         self._service = service
         self._view = view
         self._intake = intake
@@ -97,8 +97,10 @@
             max_output_tokens=max_tokens or DEFAULT_MAX_TOKENS,
             prefix_keys=prefix_keys(prompt),
         )
-        wanted = GenerationRequest(work=work, prompt=prompt, gone=request.gone)
-        style = AnswerFormat(
+        generation_request = GenerationRequest(
+            work=work, prompt=prompt, gone=request.gone
+        )
+        answer_format = AnswerFormat(
             answer_id=f"{_ID_PREFIX[kind]}-{work.request_id}",
             kind=kind,
             model=body.model,
@@ -107,24 +109,27 @@
         end = self._in_flight.begin()
         try:
             if body.stream:
-                return self._streamed(wanted, style, body, end)
-            completion = self._service.complete(wanted)
+                return self._stream_response(
+                    generation_request, answer_format, body, end
+                )
+            completion = self._service.complete(generation_request)
         except BaseException:
             end()
             raise
         end()
         return Response(
-            headers=(("Content-Type", JSON),), body=style.whole(completion)
+            headers=(("Content-Type", JSON),),
+            body=answer_format.full_answer(completion),
         )
 
-    def _streamed(self, wanted, style, body, end):
-        stream = self._service.open(wanted)
+    def _stream_response(self, generation_request, answer_format, body, end):
+        stream = self._service.open(generation_request)
         options = body.stream_options
         return Response(
             headers=_STREAM_HEADERS,
             body=EventBody(
                 stream=stream,
-                style=style,
+                answer_format=answer_format,
                 with_usage=bool(options and options.include_usage),
                 end=end,
             ),
@@ -132,59 +137,62 @@
 
 
 class EventBody:
-    """Body of a streamed answer; closing it frees what the stream holds.
+    """Body of a streamed answer; closing it frees the engine memory held.
 
-    A class rather than a generator, because a generator that was never
-    started does not run its ``finally``: engine memory would stay held for
-    a caller who hung up before the first event.
+    This is a class and not a generator, because a generator that was never
+    started does not run its ``finally`` block: engine memory would leak if
+    the caller disconnected before the first event.
 
     Parameters
     ----------
     stream : OutputStream
-        The output.
-    style : AnswerFormat
-        How events are written.
+        Output of the engine.
+    answer_format : AnswerFormat
+        Encodes the events.
     with_usage : bool
-        Whether the last event tells the number of tokens.
+        Whether the last event contains the numbers of tokens.
     end : callable
         Called once when the body is closed.
     """
 
-    def __init__(self, *, stream, style, with_usage, end):
-        """Send nothing yet."""
+    def __init__(self, *, stream, answer_format, with_usage, end):
+        """Store the stream; nothing is sent before iteration."""
         self._stream = stream
-        self._style = style
+        self._answer_format = answer_format
         self._with_usage = with_usage
         self._end = end
 
     def __iter__(self):
         """Yield the events."""
-        if first := self._style.first_event():
+        if first := self._answer_format.first_event():
             yield first
-        text_event = self._style.text_event
+        text_event = self._answer_format.text_event
         try:
             for chunk in self._stream:
                 if chunk.finish_reason:
-                    yield self._last(chunk)
+                    yield self._final_events(chunk)
                     return
                 yield text_event(chunk.text)
         except RefusedError as exc:
-            # Part of the answer is out, so the status cannot tell of the
-            # failure; the event does, and no end marker follows it.
+            # Part of the answer has been sent, so the HTTP status cannot
+            # report the failure.  This event reports it, and no end marker
+            # follows.
             yield event_of(problem_of_refusal(exc))
         except CallerGoneError:
             return
 
     def close(self):
-        """Free what the stream holds."""
+        """Close the stream and free the memory it holds."""
         self._stream.close()
         self._end()
 
-    def _last(self, chunk):
+    def _final_events(self, chunk):
         usage = None
         if self._with_usage:
             usage = (self._stream.prompt_tokens, self._stream.output_tokens)
-        return self._style.last_events(chunk.finish_reason, usage=usage)
+        return self._answer_format.last_events(
+            chunk.finish_reason, usage=usage
+        )
 
 
 _ID_PREFIX = {WorkKind.CHAT: "chatcmpl", WorkKind.COMPLETION: "cmpl"}
--- a/currantdeal/adapters/http/health.py
+++ b/currantdeal/adapters/http/health.py
@@ -1,4 +1,4 @@
-"""Health, readiness, metrics and the addresses that callers should use."""
+"""Endpoints for health, readiness, metrics and the list of entries."""
 
 from currantdeal.adapters.http.errors import HttpError
 from currantdeal.adapters.http.messages import Response, json_response
@@ -8,24 +8,24 @@
 
 
 class HealthEndpoints:
-    """What is asked about the instance itself.
+    """Endpoints about the instance itself and the entries callers can use.
 
     Parameters
     ----------
     state : StatePort
-        Tells whether the view may guide work.
+        Provides the lease on the replicated state and its version.
     members : MembersPort
-        Tells which instances serve callers.
+        The known instances and their status.
     metrics : Metrics
-        Rendered for scrapers.
+        Registry that is rendered for scrapers.
     in_flight : InFlight
-        Counts the requests being served.
+        Counts the requests in flight.
     region : RegionId
-        Region of the instance; its entries come first.
+        Region of the instance; its entries are listed first.
     keep_s : float
-        How long callers may keep the list of entries, in seconds.
+        Time for which callers may cache the list of entries, in seconds.
     rng : random.Random
-        Shuffles entries of equal load.
+        Shuffles entries with equal load.
     draining : callable
         Returns True during a planned stop.
     """
@@ -42,7 +42,7 @@
         rng,
         draining,
     ):
-        """Keep the parts."""
+        """Store the collaborators."""
         self._in_flight = in_flight
         self._region = region
         self._rng = rng
@@ -60,26 +60,30 @@
         routes.add("GET", "/v1/entries", self.entries, kind=KeyKind.CALLER)
 
     def healthz(self, request):
-        """Say that the process answers."""
+        """Answer that the process is alive."""
         return json_response({"status": "ok"})
 
     def readyz(self, request):
-        """Say whether new work is served here."""
+        """Answer whether this instance accepts new work."""
         if self._draining():
             raise HttpError(503, "draining", "the instance is being stopped")
         if self._state.lease_remaining_s() <= 0:
-            raise HttpError(503, "no-lease", "the instance is cut off")
+            raise HttpError(
+                503,
+                "no-lease",
+                "the instance has no lease on the replicated state",
+            )
         return json_response(
             {"status": "ready", "version": self._state.view().version}
         )
 
     def metrics(self, request):
-        """Show the metrics in the text format of Prometheus."""
-        self._measure()
+        """Return the metrics in the text format of Prometheus."""
+        self._update_gauges()
         content_type, text = self._metrics.render()
         return Response(headers=(("Content-Type", content_type),), body=text)
 
-    def _measure(self):
+    def _update_gauges(self):
         alive = [
             member
             for member in self._members.members()
@@ -92,7 +96,7 @@
         metrics.set("lease_remaining_seconds", self._state.lease_remaining_s())
 
     def entries(self, request):
-        """Tell which addresses callers should use."""
+        """Return the addresses that callers should use."""
         return json_response(
             choose_entries(
                 self._members.members(),
--- a/currantdeal/adapters/http/intake.py
+++ b/currantdeal/adapters/http/intake.py
@@ -1,4 +1,4 @@
-"""From HTTP requests to work: who asks, for what, and until when."""
+"""Builds work from HTTP requests: caller, target and deadline."""
 
 import uuid
 
@@ -13,26 +13,26 @@
 
 
 class Intake:
-    """Builds the work of an instance's requests.
+    """Builds the ``Work`` of HTTP requests.
 
     Parameters
     ----------
     region : RegionId
         Region of the instance.
     deadline_s : float
-        Deadline of requests that name none, in seconds.
+        Default deadline of requests, in seconds.
     clock : Clock
-        Time of arrival.
+        Source of arrival times.
     """
 
     def __init__(self, *, region, deadline_s, clock):
-        """Keep the settings."""
+        """Store the settings."""
         self._region = region
         self._deadline_s = deadline_s
         self._clock = clock
 
-    def work(self, request, *, kind, target, **more):
-        """Return the ``Work`` of a request; ``more`` are its other fields."""
+    def work(self, request, *, kind, target, **fields):
+        """Return the ``Work`` of a request; ``fields`` are passed on."""
         arrived_s = self._clock.monotonic_s()
         return Work(
             request_id=RequestId(uuid.uuid4().hex),
@@ -41,16 +41,18 @@
             target=target,
             region=self._region,
             arrived_s=arrived_s,
-            deadline_s=arrived_s + self._deadline_of(request),
-            **more,
+            deadline_s=arrived_s + self._deadline_after_s(request),
+            **fields,
         )
 
-    def _deadline_of(self, request):
+    def _deadline_after_s(self, request):
         text = request.header(DEADLINE_HEADER)
         if not text:
             return self._deadline_s
         if not text.isascii() or not text.isdigit():
-            raise bad_request(f"{DEADLINE_HEADER} is not a number")
+            raise bad_request(
+                f"{DEADLINE_HEADER} must be a number of milliseconds"
+            )
         millis = int(text[:12])
         if not 0 < millis <= MAX_DEADLINE_MS:
             raise bad_request(
@@ -60,14 +62,14 @@
 
 
 def caller_of(request):
-    """Return whom a request is charged to."""
+    """Return the caller that a request is charged to."""
     if request.key is None:
         return ANONYMOUS
     return request.key.caller or CallerId(request.key.name)
 
 
-def key_of(request):
-    """Return the caller's idempotency key, or an empty text."""
+def idempotency_key_of(request):
+    """Return the caller's idempotency key, or an empty string."""
     key = request.header(KEY_HEADER).strip()
     if len(key) > MAX_KEY_LENGTH:
         raise bad_request(
--- a/currantdeal/adapters/http/messages.py
+++ b/currantdeal/adapters/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses, as handlers see them."""
+"""Requests and responses as passed to and from handlers."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -13,22 +13,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Request:
-    """A request whose body has been read and whose key is known.
+    """A request whose body has been read and whose key has been checked.
 
     Parameters
     ----------
     path : str
         Decoded path.
     raw_path : str
-        Path and query as they were sent.
+        Path and query as sent by the client.
     environ : dict
         The WSGI environment, for headers.
     groups : dict
-        What the route's pattern found in the path.
+        Named groups of the route's pattern, found in the path.
     key : KeySettings or None
-        The key that was shown; None where the settings name no keys.
+        The presented key; None if the settings have no keys.
     gone : callable
-        Returns True once the client has hung up.
+        Returns True once the client has disconnected.
     """
 
     method: str
@@ -57,10 +57,16 @@
         """Network address of the client."""
         return self.environ.get("REMOTE_ADDR", "")
 
-    def json(self, wanted):
-        """Return the body as a message of a type, or raise an error."""
+    def json(self, cls):
+        """Return the body decoded from JSON as an instance of ``cls``.
+
+        Raises
+        ------
+        HttpError
+            If the body does not match the type or is nested too deeply.
+        """
         try:
-            return msgspec.json.decode(self.body, type=wanted)
+            return msgspec.json.decode(self.body, type=cls)
         except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
             raise bad_request(f"the body: {exc}") from exc
         except RecursionError as exc:
@@ -69,7 +75,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Response:
-    """An answer; the body is bytes, or chunks that are sent as they come."""
+    """An answer; the body is bytes, or chunks sent as they are produced."""
 
     status: int = 200
     headers: tuple[tuple[str, str], ...] = ()
@@ -77,7 +83,7 @@
 
 
 def json_response(message, *, status=200, headers=()):
-    """Return an answer with a message in JSON."""
+    """Return an answer with a message encoded as JSON."""
     return Response(
         status=status,
         headers=(("Content-Type", JSON), *headers),
--- a/currantdeal/adapters/http/openai_format.py
+++ b/currantdeal/adapters/http/openai_format.py
@@ -1,4 +1,4 @@
-"""Answers in the format of the OpenAI API."""
+"""Encodes answers in the format of the OpenAI API."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerFormat:
-    """How the answer to one request is written.
+    """Encodes the answer to one request.
 
     Parameters
     ----------
     answer_id : str
-        Name of the answer.
+        Identifier of the answer.
     kind : WorkKind
         Chat or completion.
     model : str
-        The model that was asked for.
+        The requested model.
     created : int
         Time of the answer, in seconds since the epoch.
     """
@@ -31,8 +31,8 @@
     model: str
     created: int
 
-    def whole(self, completion):
-        """Return a whole answer as JSON bytes."""
+    def full_answer(self, completion):
+        """Return a complete answer as JSON bytes."""
         choice = {"index": 0, "logprobs": None}
         choice["finish_reason"] = completion.finish_reason
         if self.kind is WorkKind.CHAT:
@@ -45,30 +45,30 @@
             choice["text"] = completion.text
         usage = _usage(completion.prompt_tokens, completion.output_tokens)
         return msgspec.json.encode(
-            {**self._head(self._whole_object), "choices": [choice]} | usage
+            {**self._head(self._object_type), "choices": [choice]} | usage
         )
 
     def first_event(self):
-        """Return what a stream begins with."""
+        """Return the first event of a stream, empty for a completion."""
         if self.kind is not WorkKind.CHAT:
             return b""
         delta = {"role": "assistant", "content": ""}
         return self._event([self._chunk_choice(delta, None)])
 
     def text_event(self, text):
-        """Return the event for one piece of text."""
-        # Encoding only the text, between bytes prepared once for the whole
-        # stream, is what keeps the cost of each token low.
-        start, end = self._text_frame
+        """Return the event for a text fragment."""
+        # Only the text is encoded for each token; the bytes around it are
+        # prepared once per stream, which keeps the cost of a token low.
+        start, end = self._text_event_frame
         return start + msgspec.json.encode(text) + end
 
     def last_events(self, finish_reason, *, usage=None):
-        """Return what a stream ends with.
+        """Return the last events of a stream.
 
         Parameters
         ----------
         usage : tuple of int or None
-            Prompt and output tokens, if the caller asked for them.
+            Numbers of prompt and output tokens, if requested by the caller.
         """
         choice = self._chunk_choice({}, finish_reason)
         if self.kind is not WorkKind.CHAT:
@@ -79,17 +79,17 @@
         return events + DONE_EVENT
 
     @cached_property
-    def _text_frame(self):
-        mark = "\x00"
-        choice = self._chunk_choice({"content": mark}, None)
+    def _text_event_frame(self):
+        placeholder = "\x00"
+        choice = self._chunk_choice({"content": placeholder}, None)
         if self.kind is not WorkKind.CHAT:
-            choice = _text_choice(mark, None)
+            choice = _text_choice(placeholder, None)
         event = self._event([choice])
-        start, _, end = event.partition(msgspec.json.encode(mark))
+        start, _, end = event.partition(msgspec.json.encode(placeholder))
         return start, end
 
     @property
-    def _whole_object(self):
+    def _object_type(self):
         if self.kind is WorkKind.CHAT:
             return "chat.completion"
         return "text_completion"
@@ -103,7 +103,7 @@
         }
 
     def _event(self, choices, **more):
-        kind = self._whole_object
+        kind = self._object_type
         if self.kind is WorkKind.CHAT:
             kind = "chat.completion.chunk"
         message = {**self._head(kind), "choices": choices, **more}
@@ -119,7 +119,7 @@
 
 
 def event_of(message):
-    """Return a server-sent event that carries a message in JSON."""
+    """Return a server-sent event with a message encoded as JSON."""
     return b"data: " + msgspec.json.encode(message) + b"\n\n"
 
 
--- a/currantdeal/adapters/http/openai_messages.py
+++ b/currantdeal/adapters/http/openai_messages.py
@@ -1,7 +1,7 @@
-"""Requests in the format of the OpenAI API, as far as they are used.
+"""Request bodies of the OpenAI API, limited to the supported fields.
 
-Fields that only shape sampling are taken and passed over, since engines
-speak a dialect of their own.
+Fields that only control sampling are accepted and ignored, since engines use
+their own protocol.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 MAX_TOKENS = 131_072
 DEFAULT_MAX_TOKENS = 512
-"""Most output tokens where the caller names no number."""
+"""Limit of output tokens if the caller sets none."""
 
 TokenCount = Annotated[int, Meta(ge=1, le=MAX_TOKENS)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ContentPart:
-    """Part of a message's content; only text is supported."""
+    """Part of the content of a message; only text is supported."""
 
     type: str
     text: str = ""
--- a/currantdeal/adapters/http/operator.py
+++ b/currantdeal/adapters/http/operator.py
@@ -1,7 +1,7 @@
-"""What operators read and change.
+"""Endpoints through which operators read and change the state.
 
-Changes are compare-and-set on a version and carry a request id, so that a
-resend after a lost answer gets the first answer.
+Changes use compare-and-set on a version and carry a request id, so that a
+retry after a lost answer returns the first answer.
 """
 
 from dataclasses import dataclass, field
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LabelsBody:
-    """Body of a change of labels."""
+    """Body that sets and removes labels."""
 
     request_id: str
     expected_version: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DrainBody:
-    """Body that starts a graceful shutdown, or calls it off."""
+    """Body that starts or cancels a graceful shutdown."""
 
     request_id: str
     draining: bool = True
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderBody:
-    """Body that orders an engine to do something."""
+    """Body that issues an order to an engine."""
 
     request_id: str
     upstream_id: str
@@ -92,7 +92,8 @@
     Parameters
     ----------
     in_force_s : float or None
-        Seconds until it was in force everywhere; None if not waited for.
+        Seconds until the change was in force on all instances; None if the
+        request did not wait for that.
     """
 
     result: str
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShownUpstream:
-    """An upstream as operators see it."""
+    """An upstream as shown to operators."""
 
     upstream: object
     labels: dict
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Status:
-    """What an instance knows of the whole system."""
+    """Status of the whole system as seen by one instance."""
 
     instance: str
     region: str
@@ -130,22 +131,22 @@
 
 
 class OperatorEndpoints:
-    """What operators call.
+    """Endpoints for operators.
 
     Parameters
     ----------
     state : StatePort
-        Where changes are agreed on.
+        The replicated state, to which changes are proposed.
     homes, members : HomesPort, MembersPort
         Shown in the status.
     instance, region : str
         This instance.
     clock : Clock
-        Dates changes.
+        Source of the time of changes.
     """
 
     def __init__(self, *, state, homes, members, instance, region, clock):
-        """Keep the parts."""
+        """Store the collaborators."""
         self._state = state
         self._homes = homes
         self._members = members
@@ -174,10 +175,10 @@
             routes.add(methods, pattern, handler, kind=KeyKind.OPERATOR)
 
     def status(self, request):
-        """Tell what is in force, and where."""
-        # Read before the view: a lease that begins in between would be
-        # shown beside the version from before it, as if work were handed
-        # out under a version that is long past.
+        """Return which version is in force, and on which instances."""
+        # The lease is read before the view.  Otherwise a lease granted in
+        # between would be shown with the version from before it, as if work
+        # were started under an outdated version.
         lease_remaining_s = self._state.lease_remaining_s()
         state = self._state.view()
         reports = map(self._homes.load, sorted(state.upstreams))
@@ -198,11 +199,11 @@
     def upstreams(self, request):
         """List the upstreams with the labels in force."""
         state = self._state.view()
-        shown = [
+        items = [
             self._shown(state, state.upstreams[name])
             for name in sorted(state.upstreams)
         ]
-        return json_response({"version": state.version, "upstreams": shown})
+        return json_response({"version": state.version, "upstreams": items})
 
     def set_labels(self, request):
         """Set and remove labels of an upstream."""
@@ -221,8 +222,8 @@
     def selectors(self, request):
         """List the selectors."""
         state = self._state.view()
-        shown = [state.selectors[name] for name in sorted(state.selectors)]
-        return json_response({"version": state.version, "selectors": shown})
+        items = [state.selectors[name] for name in sorted(state.selectors)]
+        return json_response({"version": state.version, "selectors": items})
 
     def apply_selector(self, request):
         """Create or replace a selector."""
@@ -251,7 +252,7 @@
         )
 
     def drain(self, request):
-        """Start an instance's graceful shutdown, or call it off."""
+        """Start or cancel the graceful shutdown of an instance."""
         body = request.json(DrainBody)
         return self._change(
             body,
@@ -265,11 +266,11 @@
     def orders(self, request):
         """List engine orders."""
         state = self._state.view()
-        shown = [state.orders[number] for number in sorted(state.orders)]
-        return json_response({"version": state.version, "orders": shown})
+        items = [state.orders[number] for number in sorted(state.orders)]
+        return json_response({"version": state.version, "orders": items})
 
     def issue_order(self, request):
-        """Order an engine to do something."""
+        """Issue an order to an engine."""
         body = request.json(OrderBody)
         return self._change(
             body,
@@ -281,18 +282,18 @@
         )
 
     def audit(self, request):
-        """Show part of the audit trail."""
+        """Return part of the audit trail."""
         query = parse_qs(request.query)
-        after = _number(query, "after", 0)
-        limit = min(_number(query, "limit", 100), MAX_AUDIT)
+        after = _parse_number(query, "after", 0)
+        limit = min(_parse_number(query, "limit", 100), MAX_AUDIT)
         records = read_audit(
             self._state.view(), after_version=after, limit=limit
         )
         return json_response({"records": records})
 
     def _progress(self):
-        # An instance that is cut off must still tell what it believes; that
-        # is when an operator asks.
+        # An instance that is cut off must still report its view, since that
+        # is when an operator needs the status.
         try:
             return self._state.progress()
         except StateUnavailableError:
@@ -314,12 +315,12 @@
         try:
             result = self._state.propose(command, timeout_s=PROPOSE_TIMEOUT_S)
         except StateUnavailableError as exc:
-            fate = "may still be" if exc.proposed else "was not"
+            verb = "may still be" if exc.proposed else "was not"
             raise HttpError(
                 503,
                 "state-unavailable",
-                f"no quorum answered in time; the change {fate} made; "
-                "send it again under the same request id",
+                f"no quorum answered in time; the change {verb} made; "
+                "retry with the same request id",
                 headers=(("Retry-After", "1"),),
                 outcome=Outcome.UNKNOWN if exc.proposed else Outcome.NOT_RUN,
             ) from exc
@@ -327,8 +328,8 @@
             raise HttpError(
                 409,
                 "conflict",
-                f"{result.message}; read version {result.current_version} "
-                "and decide anew",
+                f"{result.message}; the current version is "
+                f"{result.current_version}: read it before another change",
             )
         if isinstance(result, Invalid):
             raise HttpError(422, "invalid", result.message)
@@ -352,8 +353,8 @@
             raise HttpError(
                 504,
                 "not-in-force",
-                f"version {version} is accepted and was not in force "
-                "everywhere in time",
+                f"version {version} is accepted but was not in force on all "
+                "instances in time",
                 outcome=Outcome.UNKNOWN,
             ) from exc
 
@@ -367,7 +368,7 @@
         )
 
 
-def _number(query, name, default):
+def _parse_number(query, name, default):
     text = query.get(name, [str(default)])[0]
     try:
         return max(0, msgspec.convert(text, int, strict=False))
--- a/currantdeal/adapters/http/problems.py
+++ b/currantdeal/adapters/http/problems.py
@@ -1,7 +1,7 @@
-"""Errors as problem documents [1]_.
+"""Encodes errors as problem documents [1]_.
 
-Those of the ``/v1`` endpoints also hold the ``error`` object that clients of
-the OpenAI API look for.
+The documents also contain the ``error`` object that clients of the OpenAI API
+expect from the ``/v1`` endpoints.
 
 References
 ----------
@@ -48,7 +48,7 @@
 
 
 def problem(status, reason, message, *, outcome=Outcome.NOT_RUN.value):
-    """Return a problem document as a dict ready to be encoded."""
+    """Return a problem document as a dict."""
     kind = "server_error" if status >= 500 else "invalid_request_error"
     return {
         "type": f"urn:currantdeal:problem:{reason}",
@@ -66,13 +66,13 @@
 
 
 def problem_response(document, *, retry_after_s=None, headers=()):
-    """Return the answer that carries a problem document."""
+    """Return the answer with a problem document as its body."""
     extra = []
     if retry_after_s is not None:
         extra.append(("Retry-After", str(max(1, math.ceil(retry_after_s)))))
     if document["outcome"] != Outcome.NOT_RUN.value:
-        # Clients of the OpenAI API retry server errors by themselves; work
-        # that may have run is for the caller to decide on.
+        # Clients of the OpenAI API retry server errors automatically.  For
+        # work that may have run, only the caller can decide on a retry.
         extra.append(("X-Should-Retry", "false"))
     return Response(
         status=document["status"],
@@ -82,7 +82,7 @@
 
 
 def refusal_response(refusal):
-    """Return the final answer of a request that is given up."""
+    """Return the answer to a refused request."""
     return problem_response(
         problem_of_refusal(refusal), retry_after_s=refusal.retry_after_s
     )
--- a/currantdeal/adapters/http/server.py
+++ b/currantdeal/adapters/http/server.py
@@ -1,6 +1,6 @@
-"""waitress with limits that fit long streams.
+"""HTTP server based on waitress, with limits for long streams.
 
-A thread serves one request at a time, so each open stream takes a thread.
+A thread serves one request at a time, so each open stream occupies a thread.
 """
 
 import socket
@@ -12,20 +12,20 @@
 from waitress.task import WSGITask
 
 UNSENT_TIMEOUT_S = 5.0
-"""Time after which a client that takes no bytes counts as gone.
+"""Time after which a client that acknowledges no bytes counts as gone.
 
-Its connection may be open for good without anything arriving; the stream
-would hold engine memory until the last output.
+Otherwise its connection could stay open forever without delivering anything,
+and the stream would hold engine memory until the last output.
 """
 
 IDLE_TIMEOUT_S = 30
-"""Time for which an idle connection, or half a request, is kept."""
+"""Time for which an idle connection or an incomplete request is kept."""
 
 CLEANUP_INTERVAL_S = 2
 OUTPUT_BUFFER_BYTES = 65_536
 CONNECTIONS_PER_THREAD = 4
 RESERVED_FILES = 100
-QUIET_LOOK_S = 0.02
+SENT_POLL_S = 0.02
 
 
 class HttpServer:
@@ -40,9 +40,9 @@
     port : int
         Port to listen on; 0 picks a free one.
     threads : int
-        Requests served at a time.
+        Maximum number of concurrent requests.
     max_header_bytes, max_body_bytes : int
-        Larger requests are refused.
+        Requests that exceed these limits are refused.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         return self._listener.getsockname()[1]
 
     def start(self):
-        """Serve on threads of its own."""
+        """Serve requests on background threads."""
         threading.Thread(
             target=self._run, name="http-server", daemon=True
         ).start()
@@ -85,25 +85,25 @@
         self._closing.set()
 
     def stop_accepting(self):
-        """Close the listener; open connections go on.
+        """Close the listener; open connections continue.
 
-        A client that connects afterwards is refused by the operating system,
-        which proves to it that nothing ran.
+        The operating system refuses later connections, which proves to the
+        client that its request was not run.
         """
         self._server.del_channel()
         self._listener.close()
 
     def wait_quiet(self, *, timeout_s):
-        """Return whether every answer was sent within the timeout.
+        """Wait until all answers are sent; return False on a timeout.
 
-        A request has ended when its last bytes are in a buffer here; closing
-        the connection then would cut the answer off.
+        A request ends when its last bytes are in a buffer of the server.
+        Closing the connection at that point would truncate the answer.
         """
         until_s = time.monotonic() + timeout_s
         while self._is_busy():
             if time.monotonic() > until_s:
                 return False
-            time.sleep(QUIET_LOOK_S)
+            time.sleep(SENT_POLL_S)
         return True
 
     def _is_busy(self):
@@ -121,13 +121,13 @@
         try:
             self._server.run()
         except OSError:
-            # The listener was closed by ``stop`` while being polled.
+            # ``stop`` closed the listener while it was polled.
             return
 
 
 def _listen(host, port):
     listener = socket.create_server((host, port), backlog=1024)
-    # Accepted connections inherit these.
+    # Accepted connections inherit these options.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.setsockopt(
         socket.IPPROTO_TCP,
--- a/currantdeal/adapters/http/services.py
+++ b/currantdeal/adapters/http/services.py
@@ -1,8 +1,8 @@
-"""Calls to plain services."""
+"""Endpoints that forward calls to plain services."""
 
 from urllib.parse import quote
 
-from currantdeal.adapters.http.intake import key_of
+from currantdeal.adapters.http.intake import idempotency_key_of
 from currantdeal.adapters.http.messages import Response
 from currantdeal.adapters.services import HOP_BY_HOP
 from currantdeal.adapters.settings import KeyKind
@@ -14,24 +14,24 @@
 REPLAYED_HEADER = "Idempotent-Replayed"
 
 _PREFIX = "/services/"
-_NOT_PASSED_ON = HOP_BY_HOP | {"authorization", "host"}
+_NOT_FORWARDED = HOP_BY_HOP | {"authorization", "host"}
 
 
 class ServiceEndpoints:
-    """``/services/NAME/PATH`` with all usual methods.
+    """Endpoint ``/services/NAME/PATH`` for all common HTTP methods.
 
     Parameters
     ----------
     service : CallService
-        Serves the calls.
+        Sends the calls to upstreams.
     intake : Intake
-        Builds work.
+        Builds the work of requests.
     in_flight : InFlight
-        Bounds requests.
+        Counts requests in flight and limits their number.
     """
 
     def __init__(self, *, service, intake, in_flight):
-        """Keep the parts."""
+        """Store the collaborators."""
         self._service = service
         self._intake = intake
         self._in_flight = in_flight
@@ -46,7 +46,7 @@
         )
 
     def call(self, request):
-        """Answer a call."""
+        """Answer a call with the answer of an upstream."""
         name = request.groups["name"]
         work = self._intake.work(
             request,
@@ -54,20 +54,20 @@
             target=name,
             idempotent=is_idempotent(request.method),
         )
-        wanted = CallRequest(
+        call_request = CallRequest(
             work=work,
             call=ServiceCall(
                 method=request.method,
-                path=_path_below(request, name),
+                path=_upstream_path(request, name),
                 headers=_headers_of(request),
                 body=request.body,
             ),
-            key=key_of(request),
+            key=idempotency_key_of(request),
             gone=request.gone,
         )
         end = self._in_flight.begin()
         try:
-            outcome = self._service.call(wanted)
+            outcome = self._service.call(call_request)
         finally:
             end()
         headers = [(hd.name, hd.value) for hd in outcome.answer.headers]
@@ -80,7 +80,7 @@
         )
 
 
-def _path_below(request, name):
+def _upstream_path(request, name):
     raw, _, query = request.raw_path.partition("?")
     _, _, below = raw.lstrip("/").partition("/")
     _, _, rest = below.partition("/")
@@ -90,12 +90,12 @@
 
 
 def _headers_of(request):
-    found = []
+    headers = []
     for name, value in request.environ.items():
         if name in ("CONTENT_TYPE",):
-            found.append(Header(name="Content-Type", value=value))
+            headers.append(Header(name="Content-Type", value=value))
         elif name.startswith("HTTP_"):
-            shown = name[5:].replace("_", "-").title()
-            if shown.lower() not in _NOT_PASSED_ON:
-                found.append(Header(name=shown, value=value))
-    return tuple(found)
+            header_name = name[5:].replace("_", "-").title()
+            if header_name.lower() not in _NOT_FORWARDED:
+                headers.append(Header(name=header_name, value=value))
+    return tuple(headers)
--- a/currantdeal/adapters/http/tests/test_auth.py
+++ b/currantdeal/adapters/http/tests/test_auth.py
@@ -5,7 +5,7 @@
 
 from currantdeal.adapters.http.auth import KeyRing
 from currantdeal.adapters.http.errors import HttpError
-from currantdeal.adapters.http.tests.test_bad_input import _daemon
+from currantdeal.adapters.http.tests.test_bad_input import _build_daemon
 from currantdeal.adapters.settings import KeyKind, KeySettings
 
 KEY = KeySettings(
@@ -22,9 +22,10 @@
 
 
 def test_without_keys_only_loopback_addresses_are_served():
-    """Somebody starts an instance before its settings name any key.
+    """An instance is started while its settings have no keys.
 
-    Served to everybody, it would let strangers use the engines.
+    Guards against open access: if remote clients were served, anyone on the
+    network could use the engines.
     """
     ring = KeyRing(keys=())
     assert ring.check(KeyKind.OPERATOR, "", "127.0.0.1") is None
@@ -32,8 +33,8 @@
     assert _status(ring, "", address="192.0.2.1") == 403
 
 
-def test_missing_key_is_warned_of_once():
-    daemon = _daemon()
+def test_missing_keys_are_logged_once():
+    daemon = _build_daemon()
     with capture_logs() as lines:
         daemon.start()
     daemon.stop()
@@ -41,7 +42,7 @@
     assert ["no keys" in line["event"] for line in warnings] == [True]
 
 
-def test_key_is_known_by_its_hash():
+def test_key_is_identified_by_its_hash():
     ring = KeyRing(keys=(KEY,))
     assert ring.check(KeyKind.CALLER, "Bearer secret", "192.0.2.1") is KEY
     assert _status(ring, "") == 401
--- a/currantdeal/adapters/http/tests/test_bad_input.py
+++ b/currantdeal/adapters/http/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input on a real socket, against a whole instance over local ports."""
+"""Invalid input on a real socket to an instance with local ports."""
 
 import hashlib
 import json
@@ -15,7 +15,7 @@
 from currantdeal.cli.tests.local_daemon import build_local_ports
 
 LIMIT_S = 30.0
-GOOD = {"model": "m", "prompt": "x"}
+VALID_BODY = {"model": "m", "prompt": "x"}
 
 
 def _key(kind):
@@ -26,7 +26,7 @@
     )
 
 
-def _daemon(keys=()):
+def _build_daemon(keys=()):
     settings = Settings(
         instance="i1",
         region="r1",
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def address():
-    daemon = _daemon()
+    daemon = _build_daemon()
     daemon.start()
     host, _, port = daemon.caller_address.rpartition(":")
     yield host, int(port)
@@ -89,12 +89,12 @@
         (_post("/v1/completions", b"\xff\xfe"), 400),
         (_post("/v1/completions", b"[" * 5_000), 400),
         (_post("/v1/completions", {"model": 1, "prompt": "x"}), 400),
-        (_post("/v1/completions", GOOD | {"max_tokens": -1}), 400),
-        (_post("/v1/completions", GOOD | {"n": 2}), 400),
+        (_post("/v1/completions", VALID_BODY | {"max_tokens": -1}), 400),
+        (_post("/v1/completions", VALID_BODY | {"n": 2}), 400),
         (_post("/v1/chat/completions", {"model": "m", "messages": []}), 400),
-        (_post("/v1/completions", GOOD, "X-Deadline-Ms: soon\r\n"), 400),
-        (_post("/v1/completions", GOOD, "X-Deadline-Ms: 0\r\n"), 400),
-        (_post("/v1/completions", GOOD), 404),
+        (_post("/v1/completions", VALID_BODY, "X-Deadline-Ms: soon\r\n"), 400),
+        (_post("/v1/completions", VALID_BODY, "X-Deadline-Ms: 0\r\n"), 400),
+        (_post("/v1/completions", VALID_BODY), 404),
         (_post("/services/none/x", b""), 404),
         (
             _post("/services/s/x", b"", f"Idempotency-Key: {'k' * 201}\r\n"),
@@ -110,19 +110,20 @@
         (b"POST /v1/completions HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
     ],
 )
-def test_bad_input_gets_a_clear_answer(address, raw, status):
-    """A caller sends what makes no sense.
+def test_invalid_input_is_answered_with_a_client_error(address, raw, status):
+    """A caller sends an invalid request.
 
-    It must learn what is wrong, and must never see the inside of a handler.
+    Guards against answers that do not name the error or that expose the
+    traceback of a handler.
     """
-    found, body = _send(address, raw)
-    assert found == status
+    received, body = _send(address, raw)
+    assert received == status
     assert b"Traceback" not in body
     if body.startswith(b"{"):
         assert json.loads(body)["outcome"] == "not-run"
 
 
-def test_metrics_tell_of_the_instance(address):
+def test_metrics_describe_the_instance(address):
     raw = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
     status, body = _send(address, raw)
     assert status == 200
@@ -130,29 +131,31 @@
     assert b"currantdeal_members_alive 1" in body
 
 
-def test_half_a_request_blocks_nobody(address):
-    """More callers than threads send half a request and fall silent.
+def test_incomplete_requests_do_not_block_other_callers(address):
+    """More callers than threads send an incomplete request and then stall.
 
-    Other callers would wait for ever.
+    Guards against thread exhaustion: if each of them occupied a thread, other
+    callers would wait forever.
     """
-    half = _post("/v1/completions", GOOD)[:-3]
-    with_half = [socket.create_connection(address) for _ in range(20)]
-    for sock in with_half:
+    half = _post("/v1/completions", VALID_BODY)[:-3]
+    connections = [socket.create_connection(address) for _ in range(20)]
+    for sock in connections:
         sock.sendall(half)
     status, _ = _send(address, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
     assert status == 200
-    for sock in with_half:
+    for sock in connections:
         sock.close()
 
 
 def test_half_a_request_is_closed_after_a_while(monkeypatch):
-    """A caller sends half a request and never anything more.
+    """A caller sends half a request and then nothing.
 
-    Its connection would be kept for good.
+    Guards against leaked connections: without a timeout its connection would
+    stay open forever.
     """
     monkeypatch.setattr(server_module, "IDLE_TIMEOUT_S", 1)
     monkeypatch.setattr(server_module, "CLEANUP_INTERVAL_S", 1)
-    daemon = _daemon()
+    daemon = _build_daemon()
     daemon.start()
     host, _, port = daemon.caller_address.rpartition(":")
     sock = socket.create_connection((host, int(port)), timeout=LIMIT_S)
@@ -163,9 +166,10 @@
 
 
 def test_answers_of_one_connection_do_not_cross(address):
-    """Two requests are sent at once on one connection.
+    """Two requests are pipelined on one connection.
 
-    The second answer must be the second request's.
+    Guards against answers in the wrong order: the second answer must belong
+    to the second request.
     """
     first = b"GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n"
     second = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -178,17 +182,17 @@
 
 
 def test_keys_of_one_kind_are_not_taken_for_another():
-    """A caller shows its key where an operator's is needed.
+    """A caller presents its key where an operator's key is required.
 
-    It could withdraw upstreams.
+    Guards against privilege escalation: the caller could withdraw upstreams.
     """
-    daemon = _daemon(keys=[_key(kind) for kind in KeyKind])
+    daemon = _build_daemon(keys=[_key(kind) for kind in KeyKind])
     daemon.start()
     host, _, port = daemon.caller_address.rpartition(":")
 
     def status(path, key):
-        shown = f"Authorization: Bearer {key}\r\n" if key else ""
-        raw = f"GET {path} HTTP/1.1\r\nHost: x\r\n{shown}\r\n".encode()
+        header = f"Authorization: Bearer {key}\r\n" if key else ""
+        raw = f"GET {path} HTTP/1.1\r\nHost: x\r\n{header}\r\n".encode()
         return _send((host, int(port)), raw)[0]
 
     assert status("/v1/models", "caller") == 200
@@ -202,21 +206,22 @@
     daemon.stop()
 
 
-def test_threads_are_kept_for_refusals(address):
+def test_excess_requests_are_refused_at_once(address):
     """More requests arrive than there are threads to serve them.
 
-    Each of the others is refused at once rather than left waiting.
+    Guards against excess requests that wait for a thread: they must be
+    refused at once.
     """
-    waiting = threading.Event()
-    body = _post("/v1/completions", GOOD)
+    all_answered = threading.Event()
+    body = _post("/v1/completions", VALID_BODY)
     answers = []
 
-    def ask():
+    def send():
         answers.append(_send(address, body)[0])
         if len(answers) == 40:
-            waiting.set()
+            all_answered.set()
 
     for _ in range(40):
-        threading.Thread(target=ask, daemon=True).start()
-    assert waiting.wait(LIMIT_S)
+        threading.Thread(target=send, daemon=True).start()
+    assert all_answered.wait(LIMIT_S)
     assert set(answers) <= {404, 503}
--- a/currantdeal/adapters/http/tests/test_operator.py
+++ b/currantdeal/adapters/http/tests/test_operator.py
@@ -7,7 +7,7 @@
 
 
 class SilentState:
-    """A state whose quorum does not answer."""
+    """Replicated state whose quorum does not answer."""
 
     def __init__(self, *, proposed):
         self._proposed = proposed
@@ -32,10 +32,10 @@
     [(True, Outcome.UNKNOWN), (False, Outcome.NOT_RUN)],
 )
 def test_lost_change_is_not_said_to_be_unmade(proposed, outcome):
-    """The leader dies with a change that may have reached the others.
+    """The leader fails after a change may have reached other replicas.
 
-    An operator who were told that it was not made would make it again under
-    another request id, and meet a conflict with herself.
+    Guards against reporting such a change as not made: an operator would send
+    it again under another request id and get a conflict with the first one.
     """
     endpoints = OperatorEndpoints(
         state=SilentState(proposed=proposed),
--- a/currantdeal/adapters/http/tests/test_status.py
+++ b/currantdeal/adapters/http/tests/test_status.py
@@ -6,7 +6,7 @@
 
 
 class _StartingState:
-    """A view that gets its first lease right after it was read."""
+    """State that gets its first lease right after the view is read."""
 
     def __init__(self):
         self._lease_s = 0.0
@@ -38,9 +38,9 @@
 def test_status_shows_no_lease_beside_an_older_version():
     """A replica that lost its disk has just started and gets its lease.
 
-    A status that took the version from before the lease showed version 0 as
-    in force, and an operator would think that every change had reverted.
-    Found by ``bin/soak instances --minutes 5 --seed 3``.
+    Guards against a race in the status: with the version read before the
+    lease, it showed version 0 as in force, as if every change had been
+    reverted.  Found by ``bin/soak instances --minutes 5 --seed 3``.
     """
     endpoints = OperatorEndpoints(
         state=_StartingState(),
@@ -50,5 +50,5 @@
         region="lagos",
         clock=SystemClock(),
     )
-    found = json.loads(endpoints.status(None).body)
-    assert (found["version"], found["lease_remaining_s"]) == (0, 0.0)
+    status = json.loads(endpoints.status(None).body)
+    assert (status["version"], status["lease_remaining_s"]) == (0, 0.0)
--- a/currantdeal/adapters/http/tests/test_upstreams.py
+++ b/currantdeal/adapters/http/tests/test_upstreams.py
@@ -7,7 +7,7 @@
 
 
 class CutOffState:
-    """A state whose view may guide no work any more."""
+    """Replicated state whose lease has expired."""
 
     def __init__(self):
         log = Log()
@@ -22,7 +22,7 @@
 
 
 class Renewal:
-    """A request to renew."""
+    """A request to renew an upstream."""
 
     groups = {"name": "shop-1"}
 
@@ -30,11 +30,12 @@
         return LoadReport(upstream_id="shop-1", incarnation=1)
 
 
-def test_cut_off_instance_sends_upstreams_elsewhere():
-    """An instance is cut off from the others, but its upstreams reach it.
+def test_cut_off_instance_rejects_renewals():
+    """An instance is partitioned from the others, but upstreams reach it.
 
-    If it took their renewals, every other instance would find them silent
-    and callers would be refused, although other instances could serve them.
+    Guards against accepting their renewals: the other instances would retire
+    the upstreams as silent and refuse callers, although these instances could
+    serve them.
     """
     endpoints = UpstreamEndpoints(
         state=CutOffState(),
--- a/currantdeal/adapters/http/upstreams.py
+++ b/currantdeal/adapters/http/upstreams.py
@@ -1,4 +1,4 @@
-"""Announcements, renewals and withdrawals of upstreams."""
+"""Endpoints for announcements, renewals and withdrawals of upstreams."""
 
 import uuid
 from dataclasses import dataclass
@@ -32,24 +32,24 @@
 
 
 class UpstreamEndpoints:
-    """What upstreams call.
+    """Endpoints for upstreams.
 
     Parameters
     ----------
     state : StatePort
-        Where announcements are agreed on.
+        The replicated state, to which announcements are proposed.
     homes : HomesPort
-        Takes load reports.
+        Receives load reports.
     instance : InstanceId
         This instance.
     renew_every_s : float
-        Interval at which upstreams are told to renew.
+        Interval at which upstreams have to renew, in seconds.
     clock : Clock
-        Dates changes.
+        Source of the time of changes.
     """
 
     def __init__(self, *, state, homes, instance, renew_every_s, clock):
-        """Keep the parts."""
+        """Store the collaborators."""
         self._state = state
         self._homes = homes
         self._instance = instance
@@ -65,9 +65,9 @@
         routes.add("POST", f"{name}/withdraw", self.withdraw, kind=kind)
 
     def announce(self, request):
-        """Take an upstream in."""
+        """Register an upstream."""
         upstream = request.json(Upstream)
-        _check(upstream)
+        _validate(upstream)
         result = self._propose(
             AnnounceUpstream(
                 origin=self._origin(request, "announce"), upstream=upstream
@@ -78,19 +78,21 @@
         )
 
     def renew(self, request):
-        """Take a load report in."""
+        """Renew an upstream and record its load."""
         report = request.json(LoadReport)
         name = request.groups["name"]
         if report.upstream_id != name:
             raise bad_request("upstream_id: not the one in the path")
         if self._state.lease_remaining_s() <= 0.0:
-            # A cut-off instance cannot pass the renewal on.  If it took it,
-            # the upstream would stay with it, be retired as silent by the
-            # others and get no work until the cut ends.
+            # An instance that is cut off cannot relay the renewal.  If it
+            # accepted it, the upstream would keep renewing here, the others
+            # would retire it as silent, and it would get no work until the
+            # partition ends.
             raise HttpError(
                 503,
                 "no-lease",
-                "this instance is cut off; renew at another one",
+                "this instance has no lease on the replicated state; renew at "
+                "another one",
                 headers=(("Retry-After", "1"),),
             )
         record = self._state.view().upstreams.get(name)
@@ -99,12 +101,14 @@
             or not record.present
             or record.upstream.incarnation != report.incarnation
         ):
-            raise not_found("the upstream is not known; announce it again")
+            raise not_found(
+                "unknown upstream or incarnation; announce it again"
+            )
         self._homes.report_load(report)
         return json_response({"renew_every_s": self._renew_every_s})
 
     def withdraw(self, request):
-        """Let an upstream go."""
+        """Retire an upstream at its own request."""
         body = request.json(WithdrawBody)
         result = self._propose(
             RetireUpstream(
@@ -123,7 +127,7 @@
             raise HttpError(
                 503,
                 "state-unavailable",
-                "the change was not agreed on in time; send it again",
+                "no quorum confirmed the change in time; send it again",
                 headers=(("Retry-After", "1"),),
             ) from exc
         if isinstance(result, Applied):
@@ -142,7 +146,7 @@
         )
 
 
-def _check(upstream):
+def _validate(upstream):
     host, _, port = upstream.address.rpartition(":")
     if not host or not port.isdigit():
         raise bad_request("address: expected IP:PORT")
--- a/currantdeal/adapters/logs.py
+++ b/currantdeal/adapters/logs.py
@@ -1,8 +1,8 @@
-"""Logs: one line per change of state, as JSON or for a console.
+"""Configures logging: one line per change of state, JSON or console text.
 
 See Also
 --------
-currantdeal.adapters.metrics : what is counted rather than logged
+currantdeal.adapters.metrics : events that are counted instead of logged
 """
 
 import logging
@@ -13,7 +13,7 @@
 
 
 class LogFormat(str, Enum):
-    """How lines look."""
+    """Format of log lines."""
 
     JSON = "json"
     CONSOLE = "console"
@@ -27,7 +27,7 @@
     log_format : LogFormat
         JSON for machines, console for people.
     instance : str
-        Named in every line.
+        Name of this instance, added to every line.
     """
     shared = [
         structlog.contextvars.merge_contextvars,
@@ -35,11 +35,11 @@
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         lambda _, __, event: {"instance": instance, **event},
     ]
-    last = structlog.processors.JSONRenderer()
+    renderer = structlog.processors.JSONRenderer()
     if log_format is LogFormat.CONSOLE:
-        last = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+        renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     structlog.configure(
-        processors=[*shared, structlog.processors.format_exc_info, last],
+        processors=[*shared, structlog.processors.format_exc_info, renderer],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.PrintLoggerFactory(file=sys.stderr),
     )
@@ -47,7 +47,7 @@
 
 
 def _quieten_libraries():
-    # waitress tells of each busy moment and of each hang-up, urllib3 of each
-    # broken connection; both are counted instead.
+    # waitress logs each request that waits for a thread and each client that
+    # disconnects, urllib3 each broken connection; these are counted instead.
     for name in ("waitress", "waitress.queue", "urllib3", "pykka"):
         logging.getLogger(name).setLevel(logging.ERROR)
--- a/currantdeal/adapters/metrics.py
+++ b/currantdeal/adapters/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one instance, in a registry of aioprometheus.
+"""Collects and renders the metrics of one instance with aioprometheus.
 
 Examples
 --------
@@ -16,14 +16,14 @@
 SECONDS_BUCKETS = (
     0.005, 0.01, 0.02, 0.037, 0.05, 0.1, 0.2, 0.5, 0.93, 2.0, 5.0, 10.0,
 )  # fmt: skip
-"""Bounds of histograms in seconds; among them both latency targets."""
+"""Bucket bounds of histograms in seconds; include both latency targets."""
 
 
 class Metrics:
     """Implements ``ports.MetricsPort``.
 
-    Collectors come into being when they are first used.  Scrapes are served
-    by the same threads as requests, so rendering needs no event loop.
+    Collectors are created on first use.  Scrapes are served by the same
+    threads as requests, so rendering needs no event loop.
     """
 
     def __init__(self):
@@ -43,7 +43,7 @@
             self._collector(Gauge, name).set(labels, value)
 
     def observe(self, name, value, **labels):
-        """Put a value into a histogram."""
+        """Add a value to a histogram."""
         with self._lock:
             self._collector(Histogram, name).observe(labels, value)
 
@@ -53,17 +53,17 @@
             content, headers = render(self._registry, [])
         return headers["Content-Type"], content
 
-    def _collector(self, wanted, name):
+    def _collector(self, kind, name):
         found = self._collectors.get(name)
         if found is None:
-            more = {}
-            if wanted is Histogram:
-                more["buckets"] = list(SECONDS_BUCKETS)
-            found = wanted(
+            options = {}
+            if kind is Histogram:
+                options["buckets"] = list(SECONDS_BUCKETS)
+            found = kind(
                 PREFIX + name,
                 name.replace("_", " "),
                 registry=self._registry,
-                **more,
+                **options,
             )
             self._collectors[name] = found
         return found
--- a/currantdeal/adapters/peers.py
+++ b/currantdeal/adapters/peers.py
@@ -1,7 +1,8 @@
-"""Calls between instances: Thrift over plain TCP.
+"""Calls between instances: Thrift over raw_transport TCP.
 
-One listener serves several Thrift services, told apart by name.  The client
-side keeps a few connections per address and never trusts an old one.
+One listener serves several Thrift services, which are distinguished by name.
+The client side keeps a few connections per address and does not reuse one
+that was idle for long.
 
 See Also
 --------
@@ -25,18 +26,19 @@
 
 from currantdeal.adapters.errors import PeerError
 
-IDLE_AGE_S = 5.0
-"""Idle time after which a connection is closed rather than used again.
+MAX_IDLE_AGE_S = 5.0
+"""Idle time after which a connection is closed instead of reused.
 
-Heartbeats use a connection several times a second, so one that was idle this
-long is not part of a busy path, and opening another costs one round trip.
+Heartbeats use a connection several times a second, so a connection that was
+idle this long is not on a busy path, and opening a new one costs one round
+trip.
 """
 
 MAX_IDLE_PER_ADDRESS = 4
 BACKLOG = 256
 
 # The library logs every refused connection, several times a second for a dead
-# instance; the same is raised as PeerError and counted by whoever called.
+# instance.  The error is also raised as PeerError and counted by the caller.
 logging.getLogger("thrift.transport.TSocket").setLevel(logging.CRITICAL)
 
 _PROTOCOLS = TCompactProtocolAcceleratedFactory()
@@ -80,7 +82,7 @@
         self._processor.registerProcessor(name, processor)
 
     def start(self):
-        """Accept connections, each on a thread of its own."""
+        """Accept connections; each is served by its own thread."""
         threading.Thread(
             target=self._accept, name="peer-accept", daemon=True
         ).start()
@@ -88,13 +90,13 @@
     def stop(self):
         """Close the listener and every connection."""
         self._stopped = True
-        # Closing alone leaves the port taken while a thread waits in accept,
-        # and a restart on the same address within one process would fail.
-        _shut(self._listener)
+        # Without the shutdown the port stays in use while a thread waits in
+        # accept, and a restart on the same address in one process would fail.
+        _shutdown(self._listener)
         self._listener.close()
         with self._lock:
             for sock in self._open:
-                _shut(sock)
+                _shutdown(sock)
 
     def _accept(self):
         while not self._stopped:
@@ -110,16 +112,16 @@
             ).start()
 
     def _serve(self, sock):
-        plain = TSocket()
-        plain.setHandle(sock)
-        transport = TFramedTransport(plain)
+        raw_transport = TSocket()
+        raw_transport.setHandle(sock)
+        transport = TFramedTransport(raw_transport)
         protocol = _PROTOCOLS.getProtocol(transport)
         try:
             while not self._stopped:
                 self._processor.process(protocol, protocol)
         except (TException, OSError, EOFError):
-            # The other side went away or sent what is no call; either way
-            # the connection is of no more use, and its owner opens another.
+            # The client closed the connection or sent an invalid call.  The
+            # connection is unusable, and the client opens a new one.
             pass
         finally:
             with self._lock:
@@ -128,11 +130,11 @@
 
 
 class PeerPool:
-    """Client side: short calls to other instances.
+    """Connection pool for short calls to other instances.
 
-    A call is tried once.  A timeout closes every idle connection to the
-    address, because a path that lost track of one connection has likely lost
-    the others; without this each of them would cost a timeout of its own.
+    A call is attempted once.  A timeout closes all idle connections to the
+    address: when one connection of a path is dead, the others most likely are
+    too, and each of them would cost another timeout.
     """
 
     def __init__(self):
@@ -140,34 +142,34 @@
         self._idle = defaultdict(deque)
         self._lock = threading.Lock()
 
-    def call(self, address, service, client_class, ask, *, timeout_s):
-        """Return what ``ask`` returns, given a client for the address.
+    def call(self, address, service, client_class, send, *, timeout_s):
+        """Call ``send`` with a client for the address and return its result.
 
         Parameters
         ----------
         address : str
             ``IP:PORT`` of the other instance's peer listener.
         service : str
-            Name the processor is registered under.
+            Name under which the processor is registered.
         client_class : type
-            Generated client.
-        ask : callable
-            Takes the client and makes exactly one call.
+            Generated client class.
+        send : callable
+            Function of the client that makes exactly one call.
         timeout_s : float
-            Longest wait for connecting, and again for the answer.
+            Longest wait for the connection, and again for the answer.
 
         Raises
         ------
         PeerError
-            If no answer came.  Errors declared in the service definition
-            pass through unchanged.
+            If no answer was received.  Errors declared in the service
+            definition are raised unchanged.
         """
         conn = self._take(address) or self._connect(address, timeout_s)
         conn.socket.setTimeout(timeout_s * 1000.0)
         protocol = _PROTOCOLS.getProtocol(conn.transport)
         client = client_class(TMultiplexedProtocol(protocol, service))
         try:
-            answer = ask(client)
+            answer = send(client)
         except (TTransportException, OSError, EOFError) as exc:
             conn.transport.close()
             self.forget(address)
@@ -191,7 +193,7 @@
             self.forget(address)
 
     def _take(self, address):
-        oldest_s = time.monotonic() - IDLE_AGE_S
+        oldest_s = time.monotonic() - MAX_IDLE_AGE_S
         with self._lock:
             idle = self._idle[address]
             conn = idle.pop() if idle else None
@@ -203,14 +205,18 @@
 
     def _connect(self, address, timeout_s):
         host, _, port = address.rpartition(":")
-        plain = TSocket(host, int(port))
-        plain.setTimeout(timeout_s * 1000.0)
+        raw_transport = TSocket(host, int(port))
+        raw_transport.setTimeout(timeout_s * 1000.0)
         try:
-            plain.open()
+            raw_transport.open()
         except (TTransportException, OSError) as exc:
             raise PeerError(f"{address}: {exc}", sent=False) from exc
-        plain.handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        return _Connection(transport=TFramedTransport(plain), socket=plain)
+        raw_transport.handle.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+        )
+        return _Connection(
+            transport=TFramedTransport(raw_transport), socket=raw_transport
+        )
 
     def _give_back(self, address, conn):
         kept = _Connection(
@@ -228,6 +234,6 @@
             dropped.transport.close()
 
 
-def _shut(sock):
+def _shutdown(sock):
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
--- a/currantdeal/adapters/services.py
+++ b/currantdeal/adapters/services.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP; implements ``ports.ServicePort``."""
+"""HTTP client of plain services; implements ``ports.ServicePort``."""
 
 from currantdeal.adapters.connections import Connections, HttpRequest
 from currantdeal.ports import Header, ServiceAnswer
@@ -20,7 +20,7 @@
         "content-length",
     }
 )
-"""Headers that concern one connection and are not passed on."""
+"""Headers that apply to one connection only and are not forwarded."""
 
 
 class HttpServices:
@@ -33,11 +33,14 @@
     """
 
     def __init__(self, *, connections=None):
-        """Keep the connections."""
+        """Store the connections, or create some if none are given."""
         self._connections = connections or Connections()
 
     def call(self, upstream, call, *, timeout_s):
-        """Send the call once, on a new connection if it may not repeat."""
+        """Send the call once and return the answer.
+
+        A call that must not run twice is sent on a new connection.
+        """
         request = HttpRequest(
             address=upstream.address,
             method=call.method,
--- a/currantdeal/adapters/settings.py
+++ b/currantdeal/adapters/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one instance, read from a JSON file.
+"""Defines and reads the settings of one instance, a JSON file.
 
 Examples
 --------
@@ -25,11 +25,11 @@
 
 
 class SettingsError(AdapterError):
-    """The settings file cannot be read or makes no sense."""
+    """The settings file cannot be read or is invalid."""
 
 
 class KeyKind(str, Enum):
-    """Whom a key belongs to; one kind is not accepted for another."""
+    """Owner of a key; one kind is not accepted in place of another."""
 
     CALLER = "caller"
     OPERATOR = "operator"
@@ -45,11 +45,12 @@
     name : str
         Shown in logs and in the audit trail.
     sha256 : str
-        Hash of the key in hexadecimal; the key itself is never kept.
+        Hash of the key in hexadecimal; the key itself is never stored.
     caller : CallerId
-        Whom work under this key is charged to; callers' keys only.
+        Caller that requests with this key are charged to; only for keys of
+        callers.
     weight : float
-        Share of the caller against others when the system is full.
+        Share of the caller relative to others under full load.
     """
 
     name: str
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PeerSettings:
-    """Where this instance reaches another one."""
+    """Peer address at which this instance reaches another one."""
 
     instance: InstanceId
     peer_address: str
@@ -74,8 +75,9 @@
     Parameters
     ----------
     lease_s : float
-        Lease on the view; an instance cut off stops giving out new work
-        within it.  Below the three seconds that a withdrawal may take.
+        Lease on the replicated state; an instance that is cut off stops
+        starting new work within this time.  It must be below the three
+        seconds that a withdrawal may take.
     renew_s : float
         Interval between renewals of the lease.
     heartbeat_s : float
@@ -87,18 +89,18 @@
     suspicion_s : float
         Time between suspecting an instance and declaring it dead.
     announce_renew_s : float
-        Interval at which upstreams renew.
+        Interval at which upstreams renew their announcement.
     upstream_silence_s : float
-        Silence after which an upstream is retired.
+        Time without a renewal after which an upstream is retired.
     entries_keep_s : float
-        How long callers may keep an answer of ``/v1/entries``.
+        Time for which callers may cache an answer of ``/v1/entries``.
     stream_silence_s : float
-        Upper bound of the silence allowed within a stream.
+        Longest time without data within a stream.
     deadline_s : float
         Deadline of a request that names none.
     output_gap_s : float
-        Target of the time between outputs; engines are given no more streams
-        than keep it.
+        Target of the time between outputs; an engine is given no more
+        streams than it can serve within this target.
     """
 
     lease_s: float = 2.0
@@ -124,21 +126,21 @@
     caller_address, peer_address : str
         ``IP:PORT`` to listen on.
     advertised_caller_address, advertised_peer_address : str
-        Where others reach the instance, if that differs.
+        Addresses at which others reach the instance, if they differ.
     seeds : tuple of str
-        Peer addresses of a few instances to join through.
+        Peer addresses of some instances to join through.
     replicas : tuple of PeerSettings
-        The first replica set; later changes are in the replicated state.
+        The initial replica set; later changes are in the replicated state.
     routes : tuple of PeerSettings
         Addresses to use in place of the advertised ones.
     data_folder : str
         Folder for durable state; empty on an instance without a disk.
     keys : tuple of KeySettings
-        Without any, only loopback addresses are served.
+        Without any keys, only clients on loopback addresses are served.
     threads : int
-        Threads that serve callers; each open stream takes one.
+        Number of threads that serve callers; each open stream occupies one.
     max_body_bytes, max_header_bytes : int
-        Larger requests are refused.
+        Requests that exceed these limits are refused.
     """
 
     instance: InstanceId
@@ -161,12 +163,12 @@
 
 
 def parse_settings(raw):
-    """Return the settings that JSON bytes hold.
+    """Return the settings encoded in JSON bytes.
 
     Raises
     ------
     SettingsError
-        If the bytes are not settings; the message names the field.
+        If the bytes are not valid settings; the message names the field.
     """
     try:
         return msgspec.json.decode(raw, type=Settings)
--- a/currantdeal/adapters/settings_check.py
+++ b/currantdeal/adapters/settings_check.py
@@ -1,4 +1,4 @@
-"""Checks of a settings file: all problems at once, each with its path.
+"""Finds all problems of a settings file, each with its path.
 
 Examples
 --------
@@ -28,7 +28,7 @@
 )
 
 WITHDRAWAL_S = 3.0
-"""Time after which a withdrawn upstream gets no new work, in seconds."""
+"""Time after which a withdrawn upstream is given no new work."""
 
 _SHA256 = re.compile(r"[0-9a-fA-F]{64}")
 _MISSING_PATH = re.compile(r"missing required field `(\w+)`")
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Problem:
-    """One thing that is wrong, and where.
+    """One problem of a settings file.
 
     Parameters
     ----------
     path : str
-        Path in the file, such as ``timing.lease_s`` or ``keys[2].sha256``.
+        Path of the field, such as ``timing.lease_s`` or ``keys[2].sha256``.
     message : str
-        What was expected.
+        What is wrong or what was expected.
     """
 
     path: str
@@ -59,10 +59,10 @@
     if not isinstance(value, dict):
         return (Problem(path="", message="expected an object"),)
     found = [*_shape_problems(Settings, value, "")]
-    if not found or all(each.message == _UNKNOWN for each in found):
+    if not found or all(each.message == _UNKNOWN_FIELD for each in found):
         try:
             settings = msgspec.convert(value, Settings)
-            found.extend(problems_of(settings))
+            found.extend(find_invalid_values(settings))
         except msgspec.ValidationError as exc:
             found.append(Problem(path="", message=str(exc)))
     return tuple(sorted(found, key=lambda each: each.path))
@@ -74,7 +74,7 @@
     Raises
     ------
     SettingsError
-        If anything is wrong; the message names every problem.
+        If the file has problems; the message lists all of them.
     """
     try:
         raw = Path(path).read_bytes()
@@ -87,8 +87,8 @@
     return parse_settings(raw)
 
 
-def problems_of(settings):
-    """Return what makes no sense in settings of the right shape."""
+def find_invalid_values(settings):
+    """Return the invalid or contradictory values of decoded settings."""
     return (
         *_address_problems(settings),
         *_timing_problems(settings.timing),
@@ -98,14 +98,14 @@
     )
 
 
-_UNKNOWN = "unknown field"
+_UNKNOWN_FIELD = "unknown field"
 
 
 def _shape_problems(cls, value, path):
     hints = get_type_hints(cls)
     for name in value:
         if name not in hints:
-            yield Problem(path=f"{path}{name}", message=_UNKNOWN)
+            yield Problem(path=f"{path}{name}", message=_UNKNOWN_FIELD)
     for item in fields(cls):
         if item.name in value:
             yield from _value_problems(
@@ -131,31 +131,33 @@
 
 
 def _is_required(item):
-    probe = (item.default, item.default_factory)
+    defaults = (item.default, item.default_factory)
     return all(
-        repr(each).startswith("<dataclasses._MISSING") for each in probe
+        repr(each).startswith("<dataclasses._MISSING") for each in defaults
     )
 
 
 def _address_problems(settings):
     for name in ("caller_address", "peer_address"):
-        yield from _one_address(name, getattr(settings, name))
+        yield from _check_address(name, getattr(settings, name))
         advertised = f"advertised_{name}"
         if getattr(settings, advertised):
-            yield from _one_address(advertised, getattr(settings, advertised))
+            yield from _check_address(
+                advertised, getattr(settings, advertised)
+            )
     for index, seed in enumerate(settings.seeds):
-        yield from _one_address(f"seeds[{index}]", seed)
+        yield from _check_address(f"seeds[{index}]", seed)
     for name in ("replicas", "routes"):
         for index, peer in enumerate(getattr(settings, name)):
             path = f"{name}[{index}].peer_address"
-            yield from _one_address(path, peer.peer_address)
+            yield from _check_address(path, peer.peer_address)
     if settings.caller_address == settings.peer_address:
         yield Problem(
             path="peer_address", message="must differ from caller_address"
         )
 
 
-def _one_address(path, text):
+def _check_address(path, text):
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -178,7 +180,7 @@
             message=f"must be below {WITHDRAWAL_S:g}: a withdrawal is in "
             f"force after {WITHDRAWAL_S:g} s",
         )
-    for small, large, reason in _ORDERED_TIMINGS:
+    for small, large, reason in _HALF_TIMINGS:
         if getattr(timing, small) * 2 > getattr(timing, large):
             yield Problem(
                 path=f"timing.{small}",
@@ -186,7 +188,7 @@
             )
 
 
-_ORDERED_TIMINGS = (
+_HALF_TIMINGS = (
     (
         "renew_s",
         "lease_s",
--- a/currantdeal/adapters/tests/home_builders.py
+++ b/currantdeal/adapters/tests/home_builders.py
@@ -1,4 +1,4 @@
-"""Fakes at the ports, for tests of homes over real connections."""
+"""Fake ports for tests of homes over real connections."""
 
 import threading
 import time
@@ -28,8 +28,8 @@
 LIMIT_S = 30.0
 
 
-def until(wanted):
-    wait_until(wanted, what="condition of the test", limit_s=LIMIT_S)
+def until(condition):
+    wait_until(condition, what="condition of the test", limit_s=LIMIT_S)
 
 
 def build_request(number, *, entry, pieces=10, upstream_id="decode-1"):
@@ -43,7 +43,7 @@
 
 
 class SharedState:
-    """The replicated state without replicas."""
+    """Replicated state held in memory, without replicas."""
 
     def __init__(self):
         self.lock = threading.Lock()
@@ -87,17 +87,17 @@
 
 
 class FakeMembers:
-    def __init__(self, *, found):
-        self._found = found
+    def __init__(self, *, members_by_name):
+        self._members_by_name = members_by_name
 
     def members(self):
-        return tuple(self._found.values())
+        return tuple(self._members_by_name.values())
 
     def member(self, instance):
-        return self._found.get(instance)
+        return self._members_by_name.get(instance)
 
     def peer_address(self, instance):
-        member = self._found.get(instance)
+        member = self._members_by_name.get(instance)
         return member.peer_address if member else ""
 
 
@@ -127,12 +127,12 @@
 
 
 class Instances:
-    """Instances with real connections over faked ports."""
+    """Instances with real connections and fake ports."""
 
     def __init__(self, *, count=3):
         self.shared = SharedState()
         self.engine = FakeEngine()
-        self.found = {}
+        self.members_by_name = {}
         self.homes = {}
         self.servers = {}
         for number in range(1, count + 1):
@@ -150,7 +150,7 @@
     def start(self, name):
         server = PeerServer(host="127.0.0.1", port=0)
         address = f"127.0.0.1:{server.port}"
-        self.found[name] = build_member(
+        self.members_by_name[name] = build_member(
             int(name[1:]), peer_address=address, wall_s=time.time()
         )
         self.homes[name] = build_homes(
@@ -164,7 +164,7 @@
             ),
             clock=SystemClock(),
             state=FakeStatePort(shared=self.shared, instance=name),
-            members=FakeMembers(found=self.found),
+            members=FakeMembers(members_by_name=self.members_by_name),
             engines=self.engine,
             peer_server=server,
             peer_pool=PeerPool(),
@@ -177,9 +177,9 @@
         self.homes.pop(name).stop()
         self.servers.pop(name).stop()
 
-    def mourn(self, name):
-        """Let the others learn of a death, and its lease run out."""
-        del self.found[name]
+    def declare_dead(self, name):
+        """Remove an instance from the membership and expire its lease."""
+        del self.members_by_name[name]
         self.shared.leases[name] = 0.0
 
     def renew(self, upstream_id="decode-1"):
--- a/currantdeal/adapters/tests/test_connections.py
+++ b/currantdeal/adapters/tests/test_connections.py
@@ -12,21 +12,21 @@
 
 
 class _Upstream:
-    """Takes one connection, reads its request and drops it."""
+    """Accepts one connection, reads the request and closes it."""
 
-    def __init__(self, *, ends):
+    def __init__(self, *, crashes):
         self._listener = socket.create_server(("127.0.0.1", 0))
         host, port = self._listener.getsockname()
         self.request = HttpRequest(
             address=f"{host}:{port}", method="POST", path="/"
         )
-        self._ends = ends
+        self._crashes = crashes
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self):
         connection, _ = self._listener.accept()
         connection.recv(65_536)
-        if self._ends:
+        if self._crashes:
             self.close()
         connection.close()
 
@@ -40,20 +40,20 @@
     return caught.value
 
 
-def test_upstream_that_ended_with_a_request_has_crashed():
-    """Guards against a crash that passes for a lost connection."""
-    assert isinstance(_failure(_Upstream(ends=True)), UpstreamCrashedError)
+def test_upstream_that_ended_during_a_request_has_crashed():
+    """Guards against a crash that is reported as a lost connection."""
+    assert isinstance(_failure(_Upstream(crashes=True)), UpstreamCrashedError)
 
 
 def test_upstream_that_dropped_a_connection_has_not_crashed():
-    """Guards against blaming a request for a connection that was reset."""
-    upstream = _Upstream(ends=False)
+    """Guards against attributing a connection reset to the request."""
+    upstream = _Upstream(crashes=False)
     assert not isinstance(_failure(upstream), UpstreamCrashedError)
     upstream.close()
 
 
-def test_upstream_that_was_gone_before_has_not_crashed():
-    """Guards against blaming a request that was never sent."""
+def test_upstream_that_was_down_before_has_not_crashed():
+    """Guards against attributing a crash to a request never sent."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
     request = HttpRequest(address=f"{host}:{port}", method="POST", path="/")
--- a/currantdeal/adapters/tests/test_gossip.py
+++ b/currantdeal/adapters/tests/test_gossip.py
@@ -35,10 +35,10 @@
     return gossip
 
 
-def _until(wanted):
+def _until(condition):
     end_s = time.monotonic() + LIMIT_S
-    while not wanted():
-        assert time.monotonic() < end_s, "did not come true"
+    while not condition():
+        assert time.monotonic() < end_s, "timed out waiting for the condition"
         time.sleep(0.02)
 
 
@@ -47,7 +47,7 @@
     return member.status if member else None
 
 
-def test_two_instances_meet_over_udp_and_one_leaves():
+def test_two_instances_join_over_udp_and_one_leaves():
     first = _start(1)
     second = _start(2, seeds=(f"127.0.0.1:{first.port}",))
     try:
--- a/currantdeal/adapters/tests/test_homes.py
+++ b/currantdeal/adapters/tests/test_homes.py
@@ -21,17 +21,17 @@
 
 @pytest.fixture
 def instances():
-    found = Instances()
+    cluster = Instances()
     stop = threading.Event()
 
     def renew():
         while not stop.wait(0.2):
-            found.renew()
+            cluster.renew()
 
     threading.Thread(target=renew, daemon=True).start()
-    yield found
+    yield cluster
     stop.set()
-    found.stop()
+    cluster.stop()
 
 
 def _running(instances, number, **options):
@@ -40,7 +40,7 @@
     return grant
 
 
-def test_memory_is_given_out_once_among_all_entries(instances):
+def test_memory_is_granted_once_among_all_entries(instances):
     grants = [
         instances.reserve(n, entry=f"i{n}", pieces=30) for n in (1, 2, 3)
     ]
@@ -62,8 +62,9 @@
 def test_killed_entry_leaves_no_memory_held(instances):
     """An entry's process is killed while its request decodes.
 
-    Its caller is gone with the connection; the engine would hold the memory
-    until somebody tells it, and other callers would be refused for it.
+    Guards against leaked engine memory: the caller's connection is lost, but
+    the engine holds the memory until the request is cancelled, and other
+    callers would be refused for lack of memory.
     """
     instances.reserve(1, entry="i1")
     entry = instances.other(instances.home().instance)
@@ -73,11 +74,11 @@
 
 
 def test_new_home_keeps_what_entries_claim_and_cancels_the_rest(instances):
-    """The home of an engine is killed; one of its entries died just before.
+    """The home of an engine is killed just after one of its entries died.
 
-    The new home knows neither what runs nor what was granted.  If it gave
-    the memory out again the engine would be overcommitted, and if it
-    cancelled everything the callers' streams would be cut off.
+    The new home starts without records of running requests and grants.
+    Guards against overcommitting the engine by granting its memory again, and
+    against interrupting callers' streams by cancelling all requests.
     """
     instances.reserve(1, entry="i1", pieces=1)
     home = instances.home()
@@ -85,7 +86,7 @@
     claimed = _running(instances, 2, entry=entry, pieces=80)
     instances.engine.hold("of a dead entry")
     instances.kill(home.instance)
-    instances.mourn(home.instance)
+    instances.declare_dead(home.instance)
     until(lambda: instances.home().fence > home.fence)
     until(lambda: instances.engine.cancelled == ["of a dead entry"])
     with pytest.raises(ReservationError):
@@ -105,15 +106,15 @@
 
 
 def test_new_home_waits_for_the_former_lease(instances):
-    """The former home is cut off, and the engine ignores fencing numbers.
+    """The former home is partitioned; the engine ignores fencing numbers.
 
-    Until its lease has run out it may still grant, and both would give out
-    the same memory.
+    Guards against granting the same memory twice: the former home may still
+    grant until its lease has expired.
     """
     instances.reserve(1, entry="i1", pieces=1)
     former = instances.home()
     instances.kill(former.instance)
-    del instances.found[former.instance]
+    del instances.members_by_name[former.instance]
     until(lambda: instances.home().fence > former.fence)
     entry = instances.other()
     with pytest.raises(ReservationError):
@@ -134,7 +135,10 @@
 
 
 def test_drained_instance_hands_its_homes_over(instances):
-    """An operator stops the instance that is home of a busy engine."""
+    """An operator drains the instance that is home of a busy engine.
+
+    Guards against lost grants and cancelled requests during the move.
+    """
     instances.reserve(1, entry="i1", pieces=1)
     home = instances.home().instance
     _running(instances, 2, entry=home, pieces=70)
@@ -146,7 +150,7 @@
 
 
 def test_silent_upstream_is_retired():
-    """An engine's machine loses power and nobody withdraws it."""
+    """An engine's machine loses power, so the engine is never withdrawn."""
     instances = Instances(count=2)
     try:
         until(lambda: instances.shared.state.homes)
@@ -158,7 +162,7 @@
         instances.stop()
 
 
-def _fits_for_a_moment(instances):
+def _fits_briefly(instances):
     grant = _fits(instances, 2)
     if grant:
         instances.homes["i3"].release(grant)
@@ -172,7 +176,7 @@
     issued = instances.shared.propose(
         IssueOrder(origin=origin, upstream_id="decode-1", order=order)
     )
-    until(lambda: not _fits_for_a_moment(instances))
+    until(lambda: not _fits_briefly(instances))
     assert instances.engine.orders == []
     instances.homes["i2"].release(grant)
     instances.engine.memory.clear()
@@ -186,10 +190,11 @@
 
 
 def test_one_fault_does_not_end_the_heartbeats(instances):
-    """One look at the members fails while an entry's streams run.
+    """Sending heartbeats raises one exception while streams are running.
 
-    If heartbeats ended with it, the home would take the entry for dead and
-    cancel its streams, and callers would lose their output.
+    Guards against a heartbeat thread that ends with the exception: the home
+    would consider the entry dead and cancel its streams, and callers would
+    lose their output.
     """
     instances.reserve(1, entry="i1", pieces=10)
     home = instances.home().instance
--- a/currantdeal/adapters/tests/test_homes_work.py
+++ b/currantdeal/adapters/tests/test_homes_work.py
@@ -13,7 +13,7 @@
 
 
 class SlowCalls:
-    """Peers that answer only after some calls have timed out."""
+    """Peers that answer only after a number of calls have timed out."""
 
     def __init__(self, *, failures):
         self._failures = failures
@@ -25,19 +25,19 @@
         return f"claims of {name}"
 
 
-def _take_claims(calls, found):
-    told = []
+def _collect_claims(calls, members_by_name):
+    messages = []
     shared = SharedState()
     work = HomeWork(
         instance="i1",
         state=FakeStatePort(shared=shared, instance="i1"),
-        members=FakeMembers(found=found),
+        members=FakeMembers(members_by_name=members_by_name),
         engines=FakeEngine(),
         calls=calls,
         clock=SystemClock(),
         threads=2,
     )
-    work.start(told.append)
+    work.start(messages.append)
     home = UpstreamHome(
         upstream=build_upstream(),
         fence=2,
@@ -45,22 +45,25 @@
         output_gap_s=0.04,
         now_s=0.0,
     )
-    work.take_claims(home)
-    until(lambda: told)
+    work.collect_claims(home)
+    until(lambda: messages)
     work.stop()
-    return told[0].answers
+    return messages[0].answers
 
 
-def test_slow_entry_is_asked_until_it_answers():
-    """An entry is too busy to answer a new home in time, several times.
+def test_claims_call_to_a_slow_entry_is_retried():
+    """An overloaded entry times out several claims calls of a new home.
 
-    If the home went on without the answer, it would cancel the entry's
-    streams as memory held for nobody, and callers would lose their output.
+    Guards against opening the home without the entry's claims: the entry's
+    streams would be cancelled as orphans, and callers would lose their
+    output.
     """
-    found = {"i2": build_member(2)}
-    assert _take_claims(SlowCalls(failures=4), found) == ("claims of i2",)
+    members_by_name = {"i2": build_member(2)}
+    assert _collect_claims(SlowCalls(failures=4), members_by_name) == (
+        "claims of i2",
+    )
 
 
-def test_silent_entry_is_not_waited_for_long():
-    found = {"i2": build_member(2)}
-    assert _take_claims(SlowCalls(failures=10_000), found) == ()
+def test_claims_call_to_a_silent_entry_times_out():
+    members_by_name = {"i2": build_member(2)}
+    assert _collect_claims(SlowCalls(failures=10_000), members_by_name) == ()
--- a/currantdeal/adapters/tests/test_settings_check.py
+++ b/currantdeal/adapters/tests/test_settings_check.py
@@ -8,8 +8,8 @@
     TimingSettings,
 )
 from currantdeal.adapters.settings_check import (
+    find_invalid_values,
     find_problems,
-    problems_of,
     read_checked,
 )
 
@@ -29,11 +29,11 @@
     return [problem.path for problem in problems]
 
 
-def test_sound_settings_have_no_problems():
+def test_valid_settings_have_no_problems():
     assert find_problems(msgspec.json.encode(_settings())) == ()
 
 
-def test_all_problems_of_a_file_are_named_at_once():
+def test_all_problems_of_a_file_are_reported_at_once():
     raw = msgspec.json.encode(
         {
             "instance": 7,
@@ -63,9 +63,9 @@
         ({"probe_s": float("inf")}, "timing.probe_s"),
     ],
 )
-def test_timings_that_make_no_sense_are_named(timing, path):
+def test_invalid_timings_are_reported(timing, path):
     settings = _settings(timing=TimingSettings(**timing))
-    assert path in _paths(problems_of(settings))
+    assert path in _paths(find_invalid_values(settings))
 
 
 @pytest.mark.parametrize(
@@ -86,11 +86,11 @@
         ),
     ],
 )
-def test_fields_that_make_no_sense_are_named(changes, path):
-    assert path in _paths(problems_of(_settings(**changes)))
+def test_invalid_fields_are_reported(changes, path):
+    assert path in _paths(find_invalid_values(_settings(**changes)))
 
 
-def test_a_wrong_file_is_refused_with_every_problem(tmp_path):
+def test_invalid_file_is_rejected_with_all_problems(tmp_path):
     path = tmp_path / "settings.json"
     path.write_bytes(b'{"instance": "i1"}')
     with pytest.raises(SettingsError) as caught:
--- a/currantdeal/adapters/tests/test_state_file.py
+++ b/currantdeal/adapters/tests/test_state_file.py
@@ -9,8 +9,8 @@
 )
 
 
-def test_damaged_content_is_not_believed(tmp_path):
-    """Guards against records that a disk has changed."""
+def test_corrupt_content_is_rejected(tmp_path):
+    """Guards against reading records that the disk has corrupted."""
     path = tmp_path / "state"
     StateFile(path=path).write(b"known requests")
     raw = bytearray(path.read_bytes())
@@ -21,8 +21,8 @@
 
 
 @pytest.mark.parametrize("length", [0, 1, 8, 9])
-def test_torn_content_is_not_believed(tmp_path, length):
-    """Guards against a part of the records that looks whole."""
+def test_truncated_content_is_rejected(tmp_path, length):
+    """Guards against reading a torn write as a complete file."""
     path = tmp_path / "state"
     StateFile(path=path).write(b"known requests")
     path.write_bytes(path.read_bytes()[:length])
@@ -30,8 +30,8 @@
         StateFile(path=path).read()
 
 
-def test_content_before_is_kept_when_a_write_fails(tmp_path):
-    """Guards against a full disk that takes away what was known."""
+def test_previous_content_is_kept_when_a_write_fails(tmp_path):
+    """Guards against losing the records when the disk is full."""
     path = tmp_path / "state"
     StateFile(path=path).write(b"before")
 
