--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the product, run by ``bin/bench``."""
+"""Benchmarks and soaks of the product, run by ``bin/bench`` and others."""
--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -1,4 +1,7 @@
-"""The product's policy with one module off."""
+"""Defines variants of the product's policy with one module disabled.
+
+``bin/bench ablations`` runs each variant to show what its module contributes.
+"""
 
 from functools import partial
 
@@ -23,8 +26,8 @@
         return Admitted(predicted_s=0.0)
 
 
-class _OneLine(FairQueue):
-    """First come, first served, whoever the caller is."""
+class _FirstComeFirstServed(FairQueue):
+    """Serves first come, first served, without regard to the caller."""
 
     def push(self, work, *, cost_s):
         super().push(work, cost_s=0.0)
@@ -35,7 +38,11 @@
 
 
 class _GrantAll(Ledger):
-    """Reserves nothing: lagged load and the choice among samples decide."""
+    """Grants everything without reserving anything.
+
+    Only delayed load reports and the choice among sampled engines limit the
+    load of an engine.
+    """
 
     def reserve(self, ask, *, now_s):
         return LedgerGrant(ask=ask, pieces=0, start_in_s=0.0, ends_s=now_s)
@@ -44,7 +51,7 @@
         return True
 
 
-class _NoTurns(Waiters):
+class _AlwaysNext(Waiters):
     def is_next(self, request_id, caller, *, now_s):
         return True
 
@@ -52,7 +59,7 @@
 class _NoWaiters(Ledger):
     def __init__(self, *, limits):
         super().__init__(limits=limits)
-        self._waiters = _NoTurns()
+        self._waiters = _AlwaysNext()
 
 
 class _NoBatchLimit(Ledger):
@@ -60,7 +67,7 @@
         pass
 
 
-class _AskMaximum(OutputLengths):
+class _MaximumLength(OutputLengths):
     def expected(self, *, max_output_tokens, **_):
         return max_output_tokens
 
@@ -70,7 +77,7 @@
         pass
 
 
-class _EternalHints(PrefixHints):
+class _NonExpiringHints(PrefixHints):
     def _belief(self, seen_s, now_s):
         return 1.0
 
@@ -100,13 +107,13 @@
 ABLATIONS = {
     "current": Current,
     "no-admission": _with_parts(admission=lambda rng: _AdmitAll(rng=rng)),
-    "no-fair-queue": _with_parts(queue=lambda rng: _OneLine()),
+    "no-fair-queue": _with_parts(queue=lambda rng: _FirstComeFirstServed()),
     "no-ledger": partial(Current, make_ledger=_GrantAll),
     "no-waiters": partial(Current, make_ledger=_NoWaiters),
     "no-batch-limit": partial(Current, make_ledger=_NoBatchLimit),
-    "no-lengths": _with_parts(lengths=lambda rng: _AskMaximum()),
+    "no-lengths": _with_parts(lengths=lambda rng: _MaximumLength()),
     "no-prefix-hints": _with_parts(hints=lambda rng: _NoHints()),
-    "ageless-hints": _with_parts(hints=lambda rng: _EternalHints()),
+    "ageless-hints": _with_parts(hints=lambda rng: _NonExpiringHints()),
     "no-outliers": _with_parts(slow=lambda rng: _NeverSlow()),
     "no-placement": _with_parts(placement=_placement),
 }
--- a/benchmarks/chunk_source.py
+++ b/benchmarks/chunk_source.py
@@ -1,7 +1,8 @@
-"""An engine that costs next to nothing: a paced source of output chunks.
+"""Emulates an engine of negligible cost that emits chunks at a fixed pace.
 
-It answers the dialect of ``docs/protocols.md`` from one thread, so that a
-measurement of many streams shows the instance's cost and not the engine's.
+It implements the engine protocol of ``docs/protocols.md`` in one thread, so
+that a measurement of many streams shows the instance's cost and not the
+engine's.
 
 Run ``python -m benchmarks.chunk_source --help`` for its options.
 """
@@ -12,7 +13,7 @@
 
 import click
 
-KEEP_REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
+KEEP_ALIVE_REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
 STREAM_HEAD = (
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
     b"Transfer-Encoding: chunked\r\n\r\n"
@@ -23,8 +24,8 @@
 )
 
 
-class Source:
-    """Serves connections.
+class ChunkSource:
+    """Serves the connections of an instance.
 
     Parameters
     ----------
@@ -33,7 +34,7 @@
     """
 
     def __init__(self, *, gap_s):
-        """Serve nothing yet."""
+        """Set the pace; ``serve`` handles the connections."""
         self._gap_s = gap_s
 
     async def serve(self, reader, writer):
@@ -58,7 +59,7 @@
             await self._stream(json.loads(body), writer)
             return False
         reply = PREFILL if path == "/engine/prefill" else b"{}"
-        writer.write(KEEP_REPLY % (len(reply), reply))
+        writer.write(KEEP_ALIVE_REPLY % (len(reply), reply))
         return True
 
     async def _stream(self, request, writer):
@@ -83,12 +84,12 @@
 @click.command()
 @click.option("--gap-ms", default=37.0)
 def main(gap_ms):
-    """Serve chunks; the first line of output tells the address."""
+    """Serve chunks; print the address as the first line of output."""
     asyncio.run(_main(gap_ms / 1000.0))
 
 
 async def _main(gap_s):
-    source = Source(gap_s=gap_s)
+    source = ChunkSource(gap_s=gap_s)
     server = await asyncio.start_server(source.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     sys.stdout.write(json.dumps({"address": f"{host}:{port}"}) + "\n")
--- a/benchmarks/comparison.py
+++ b/benchmarks/comparison.py
@@ -1,4 +1,7 @@
-"""Baseline and current policy on the same arrivals, for both users."""
+"""Compares routers on the same arrivals, for both users' deployments.
+
+Without other routers, these are the baseline and the current policy.
+"""
 
 from dataclasses import dataclass
 
@@ -17,7 +20,7 @@
     Parameters
     ----------
     deployments : dict
-        From a deployment's name and a router's name to ``Measures``.
+        ``Measures`` by deployment name and router name.
     """
 
     experiment: str
@@ -25,14 +28,14 @@
     deployments: dict[str, dict[str, Measures]]
 
     def render(self):
-        """Return a table for people."""
+        """Return a human-readable table."""
         lines = [f"{self.experiment}, seed {self.seed}"]
         for name, routers in self.deployments.items():
-            for router, found in routers.items():
-                lines.append(_line(f"{name} {router}", found))
+            for router, measures in routers.items():
+                lines.append(_line(f"{name} {router}", measures))
                 lines.extend(
                     f"    {key} {value:.3f}"
-                    for key, value in found.details.items()
+                    for key, value in measures.details.items()
                 )
         return "\n".join(lines)
 
@@ -43,9 +46,9 @@
     Parameters
     ----------
     measure_one : callable
-        From a deployment, a router class and a seed to ``Measures``.
+        Returns ``Measures`` for a deployment, a router class and a seed.
     routers : dict, optional
-        Router classes by name; baseline and current when left out.
+        Router classes by name; by default ``ROUTERS``.
     """
     routers = routers or ROUTERS
     return Comparison(
@@ -61,13 +64,13 @@
     )
 
 
-def _line(name, found):
+def _line(name, measures):
     return (
-        f"{name:20} goodput {found.goodput:.3f}"
-        f" ({found.good_per_s:.2f}/s of {found.offered_per_s:.2f}/s)"
-        f" wasted {found.wasted_prefill:.4f}"
-        f" ttft p95 {found.ttft_p95_s:.2f} s"
-        f" itl p95 {found.itl_p95_ms:.1f} ms"
-        f" refused {found.refused:.3f} late {found.late:.3f}"
-        f" violations {found.violations}"
+        f"{name:20} goodput {measures.goodput:.3f}"
+        f" ({measures.good_per_s:.2f}/s of {measures.offered_per_s:.2f}/s)"
+        f" wasted {measures.wasted_prefill:.4f}"
+        f" ttft p95 {measures.ttft_p95_s:.2f} s"
+        f" itl p95 {measures.itl_p95_ms:.1f} ms"
+        f" refused {measures.refused:.3f} late {measures.late:.3f}"
+        f" violations {measures.violations}"
     )
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -1,7 +1,7 @@
-"""Figures of the replicated state: rates, latencies, failover, cost.
+"""Measures the replicated state: rates, latencies, failover and cost.
 
-Run by ``bin/bench-consensus``; the page is
-``docs/measurements/consensus.md``.
+Run by ``bin/bench-consensus``; ``docs/measurements/consensus.md`` has the
+results.
 """
 
 import contextlib
@@ -19,8 +19,8 @@
 
 
 @contextlib.contextmanager
-def running(*, replicas=3, instances=INSTANCES, delay_s=0.0):
-    """Start a cluster, and end it afterwards."""
+def running_cluster(*, replicas=3, instances=INSTANCES, delay_s=0.0):
+    """Provide a running cluster and stop it afterwards."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(
             folder=folder,
@@ -35,17 +35,17 @@
 
 
 def measure_rates(*, seconds=4.0):
-    """Measure changes and claims a second, and their latency."""
+    """Measure the throughput and latency of changes and claims."""
     rows = []
     for replicas in (3, 5):
         for delay_s in DELAYS_S:
-            with running(
+            with running_cluster(
                 replicas=replicas, instances=replicas + 1, delay_s=delay_s
             ) as cluster:
                 client = cluster.children[cluster.names[-1]]
                 for kind in ("change", "claim"):
                     for threads in (1, 32):
-                        found = client.ask(
+                        results = client.call(
                             "load", kind=kind, threads=threads, seconds=seconds
                         )
                         rows.append(
@@ -54,46 +54,46 @@
                                 "delay_ms": delay_s * 1e3,
                                 "kind": kind,
                                 "clients": threads,
-                                **found,
+                                **results,
                             }
                         )
     return rows
 
 
 def measure_in_force(*, changes=20):
-    """Measure the time from accepted to in force at all instances."""
+    """Measure the time from a change's acceptance to in force everywhere."""
     rows = []
     for delay_s in DELAYS_S:
-        with running(delay_s=delay_s) as cluster:
+        with running_cluster(delay_s=delay_s) as cluster:
             client = cluster.children[cluster.names[-1]]
             time.sleep(2.5)
             rows.append(_in_force(client, changes, "whole", delay_s))
             leader = cluster.leader()
             lost = next(n for n in cluster.replicas if n != leader)
             cluster.kill(lost)
-            first = client.ask("change")
+            first = client.call("change")
             rows.append(_row("replica just lost", delay_s, [first]))
             rows.append(_in_force(client, changes, "replica lost", delay_s))
             cluster.start(lost)
             cluster.wait_for_leases()
             cluster.kill(cluster.leader())
-            first = client.ask("change")
+            first = client.call("change")
             rows.append(_row("leader just lost", delay_s, [first]))
     return rows
 
 
 def _in_force(client, changes, state, delay_s):
-    found = [client.ask("change") for _ in range(changes)]
-    return _row(state, delay_s, found)
+    results = [client.call("change") for _ in range(changes)]
+    return _row(state, delay_s, results)
 
 
-def _row(state, delay_s, found):
-    accepted = sorted(each["accepted_s"] for each in found)
-    in_force = sorted(each["in_force_s"] for each in found)
+def _row(state, delay_s, results):
+    accepted = sorted(each["accepted_s"] for each in results)
+    in_force = sorted(each["in_force_s"] for each in results)
     return {
         "state": state,
         "delay_ms": delay_s * 1e3,
-        "changes": len(found),
+        "changes": len(results),
         "accepted_p50_s": statistics.median(accepted),
         "accepted_max_s": accepted[-1],
         "in_force_p50_s": statistics.median(in_force),
@@ -102,19 +102,19 @@
 
 
 def measure_failover(*, trials=8):
-    """Measure the time without a leader, and without leases."""
+    """Measure how long a failover leaves instances without leader or lease."""
     rows = []
     for delay_s in DELAYS_S:
         times, gaps = [], []
-        with running(delay_s=delay_s) as cluster:
+        with running_cluster(delay_s=delay_s) as cluster:
             client = cluster.children[cluster.names[-1]]
             for _ in range(trials):
                 leader = cluster.leader()
-                client.ask("watch")
+                client.call("watch")
                 cluster.kill(leader)
-                times.append(client.ask("first")["accepted_s"])
+                times.append(client.call("first")["accepted_s"])
                 time.sleep(2.5)
-                gaps.append(client.ask("unwatch")["longest_gap_s"])
+                gaps.append(client.call("unwatch")["longest_gap_s"])
                 cluster.start(leader)
                 cluster.wait_for_leases()
         rows.append(
@@ -134,35 +134,35 @@
     """Measure the time to catch up after missed changes."""
     rows = []
     for missed in changes:
-        with running() as cluster:
+        with running_cluster() as cluster:
             client = cluster.children[cluster.names[-1]]
             leader = cluster.leader()
             replica = next(n for n in cluster.replicas if n != leader)
             entry = cluster.names[-2]
             cluster.kill(replica)
             cluster.kill(entry)
-            client.ask("load", kind="claim", threads=20, count=missed // 20)
-            version = client.ask("status")["version"]
+            client.call("load", kind="claim", threads=20, count=missed // 20)
+            version = client.call("status")["version"]
             for role, name in (("entry", entry), ("replica", replica)):
                 cluster.start(name)
-                found = cluster.children[name].ask(
+                results = cluster.children[name].call(
                     "caught_up", version=version
                 )
-                rows.append({"missed": missed, "role": role, **found})
+                rows.append({"missed": missed, "role": role, **results})
     return rows
 
 
 def measure_cost(*, seconds=10.0, rate=20.0):
-    """Measure bytes and processor time, idle and for each change."""
+    """Measure bytes and processor time, idle and per change."""
     rows = []
-    with running() as cluster:
+    with running_cluster() as cluster:
         time.sleep(3.0)
         leader = cluster.leader()
         idle = _usage_over(cluster, lambda: time.sleep(seconds))
         client = cluster.children[cluster.names[-1]]
         busy = _usage_over(
             cluster,
-            lambda: client.ask("load", rate=rate, seconds=seconds),
+            lambda: client.call("load", rate=rate, seconds=seconds),
         )
         for name in cluster.names:
             role = "entry"
@@ -170,7 +170,7 @@
                 role = "leader" if name == leader else "replica"
             if name == cluster.names[-1]:
                 role = "entry that proposes"
-            memory = cluster.children[name].ask("memory")
+            memory = cluster.children[name].call("memory")
             rows.append(_cost_row(name, role, idle, busy, rate) | memory)
     return rows
 
@@ -205,24 +205,24 @@
 
 def _usage(cluster):
     return {
-        name: (child.ask("usage")["cpu_s"], cluster.bytes_of(name))
+        name: (child.call("usage")["cpu_s"], cluster.bytes_of(name))
         for name, child in cluster.children.items()
     }
 
 
 def measure_lease(*, cut_s=15.0):
-    """Measure work sent under an old view by a cut-off instance."""
-    with running() as cluster:
+    """Measure the work that an isolated instance sends under a stale view."""
+    with running_cluster() as cluster:
         client = cluster.children[cluster.names[0]]
-        away = cluster.children[cluster.names[-1]]
-        client.ask("announce")
+        isolated = cluster.children[cluster.names[-1]]
+        client.call("announce")
         cluster.wait_for_leases()
         time.sleep(2.5)
         cluster.isolate(cluster.names[-1])
-        away.ask("watch")
-        withdrawn = client.ask("withdraw")
+        isolated.call("watch")
+        withdrawn = client.call("withdraw")
         time.sleep(cut_s)
-        counts = away.ask("unwatch")
+        counts = isolated.call("unwatch")
         cluster.heal(cluster.names[-1])
     return [{"cut_s": cut_s, "in_force_s": withdrawn["in_force_s"]} | counts]
 
@@ -242,15 +242,15 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def main(names, as_json):
     """Measure the replicated state over real processes on loopback."""
-    found = {}
+    results = {}
     for name in names or MEASUREMENTS:
         click.echo(f"measuring {name}", err=True)
-        found[name] = MEASUREMENTS[name]()
+        results[name] = MEASUREMENTS[name]()
         if not as_json:
             click.echo(f"\n{name}\n")
-            _print_table(found[name])
+            _print_table(results[name])
     if as_json:
-        click.echo(msgspec.json.encode(found).decode())
+        click.echo(msgspec.json.encode(results).decode())
 
 
 def _print_table(rows):
--- a/benchmarks/consensus_cluster.py
+++ b/benchmarks/consensus_cluster.py
@@ -1,4 +1,7 @@
-"""Real processes of the replicated state, with a proxy on every path."""
+"""Runs a cluster of replicated-state processes with a proxy on every path.
+
+The proxies delay, cut and count the traffic between instances.
+"""
 
 import subprocess
 import sys
@@ -7,7 +10,7 @@
 
 import msgspec
 
-from benchmarks.consensus_instance import Ask
+from benchmarks.consensus_instance import ProcessRequest
 from currantdeal.adapters.settings import PeerSettings, Settings
 from currantdeal.testing.ports import PortReservations
 from currantdeal.testing.proxy import Cut, FaultProxy, LinkFaults
@@ -17,10 +20,10 @@
 
 
 class Child:
-    """One instance's process."""
+    """The process of one instance, called by lines of JSON."""
 
     def __init__(self, *, settings, folder):
-        """Start the process."""
+        """Start the process and wait until it is ready for requests."""
         path = folder / f"{settings.instance}.json"
         path.write_bytes(msgspec.json.encode(settings))
         with open(folder / f"{settings.instance}.log", "ab") as log:
@@ -33,22 +36,22 @@
         self._popen.stdout.readline()
 
     def send(self, op, **fields):
-        """Ask without waiting; ``receive`` brings the answer."""
-        raw = msgspec.json.encode(Ask(op=op, **fields))
+        """Send a request; ``receive`` returns its answer."""
+        raw = msgspec.json.encode(ProcessRequest(op=op, **fields))
         self._popen.stdin.write(raw + b"\n")
         self._popen.stdin.flush()
 
     def receive(self):
-        """Return the answer to the oldest request."""
+        """Return the answer to the oldest unanswered request."""
         return msgspec.json.decode(self._popen.stdout.readline())
 
-    def ask(self, op, **fields):
-        """Return the answer to a request."""
+    def call(self, op, **fields):
+        """Send a request and return its answer."""
         self.send(op, **fields)
         return self.receive()
 
     def kill(self):
-        """End the process without a word."""
+        """Kill the process without a graceful shutdown."""
         self._popen.kill()
         self._popen.wait()
         self._popen.stdin.close()
@@ -56,25 +59,26 @@
 
 
 class Cluster:
-    """Instances ``i1`` to ``iN``, the first of them replicas.
+    """Instances ``i1`` to ``iN``, of which the first are replicas.
 
     Parameters
     ----------
     folder : Path
-        Takes data folders, settings and logs.
+        Holds data folders, settings and logs.
     replicas, instances : int
-        How many there are.
+        Numbers of replicas and of all instances.
     delay_s : float
         One-way delay between any two instances.
     proxied : bool
-        Put a proxy on every path; without one, paths have no delay and can
-        be neither cut nor counted, and many more instances fit a machine.
+        Whether every path has a proxy.  Paths without one have no delay and
+        can be neither cut nor counted, but many more instances fit on a
+        machine.
     """
 
     def __init__(
         self, *, folder, replicas, instances, delay_s=0.0, proxied=True
     ):
-        """Start every process and wait for every lease."""
+        """Start all processes and wait until each holds a lease."""
         self._folder = Path(folder)
         self.names = [f"i{n + 1}" for n in range(instances)]
         self.replicas = self.names[:replicas]
@@ -120,38 +124,40 @@
         self.children[name] = Child(settings=settings, folder=self._folder)
 
     def kill(self, name):
-        """End an instance's process without a word."""
+        """Kill an instance's process without a graceful shutdown."""
         self.children.pop(name).kill()
 
     def leader(self):
-        """Return the name of the leader, once there is one."""
+        """Wait for a leader and return its name."""
         due_s = time.monotonic() + START_LIMIT_S
         while time.monotonic() < due_s:
             for name in self.replicas:
                 child = self.children.get(name)
-                if child and child.ask("status")["leads"]:
+                if child and child.call("status")["leads"]:
                     return name
             time.sleep(0.05)
-        raise TimeoutError("no leader")
+        raise TimeoutError(f"no leader within {START_LIMIT_S:.0f} s")
 
     def wait_for_leases(self):
-        """Return once every running instance holds a lease."""
+        """Wait until every running instance holds a lease."""
         due_s = time.monotonic() + START_LIMIT_S
         for child in self.children.values():
-            while child.ask("status")["lease_s"] <= 0:
+            while child.call("status")["lease_s"] <= 0:
                 if time.monotonic() > due_s:
-                    raise TimeoutError("no lease")
+                    raise TimeoutError(
+                        f"an instance has no lease after {START_LIMIT_S:.0f} s"
+                    )
                 time.sleep(0.05)
 
     def cut(self, name, cut):
-        """Hold everything to and from an instance, or nothing."""
+        """Set the cut of all paths to and from an instance."""
         faults = LinkFaults(delay_s=self._faults.delay_s, cut=cut)
         for pair, proxy in self.proxies.items():
             if name in pair:
                 proxy.set_faults(faults)
 
     def isolate(self, name):
-        """Cut an instance off silently."""
+        """Cut an instance off without closing its connections."""
         self.cut(name, Cut.BOTH)
 
     def heal(self, name):
@@ -159,7 +165,7 @@
         self.cut(name, Cut.NONE)
 
     def bytes_of(self, name):
-        """Return the bytes sent and received by an instance so far."""
+        """Return the bytes that an instance has sent and received."""
         return sum(
             proxy.bytes_to_target + proxy.bytes_to_source
             for pair, proxy in self.proxies.items()
@@ -167,7 +173,7 @@
         )
 
     def close(self):
-        """End all processes and proxies."""
+        """Stop all processes and proxies."""
         for name in list(self.children):
             self.kill(name)
         for proxy in self.proxies.values():
--- a/benchmarks/consensus_instance.py
+++ b/benchmarks/consensus_instance.py
@@ -1,8 +1,8 @@
-"""One instance of the replicated state, driven by lines of JSON.
+"""Runs one instance of the replicated state, driven by lines of JSON.
 
-Reads one request a line from standard input and writes one answer a line.
-It runs nothing but the replicated state, so that its processor time and
-bytes are those of control alone.
+It reads one request per line from standard input and writes one answer per
+line.  It runs nothing but the replicated state, so that its processor time
+and traffic are those of control alone.
 """
 
 import os
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ask:
+class ProcessRequest:
     """A request to this process.
 
     Parameters
@@ -50,11 +50,11 @@
     op : str
         Name of the method to call.
     kind : str
-        Of the commands, ``change`` or ``claim``.
+        Kind of the commands of a load, ``change`` or ``claim``.
     threads, seconds, rate, count : number
-        Of a load: its clients, length, commands a second, commands.
+        Clients, duration, commands a second and number of commands of a load.
     version : int
-        To wait for.
+        State version to wait for.
     """
 
     op: str
@@ -66,19 +66,19 @@
     version: int = 0
 
 
-class Watch(threading.Thread):
-    """Counts the work that this instance would hand out.
+class WorkCounter(threading.Thread):
+    """Counts the work that this instance would send to upstreams.
 
     Every 10 ms one unit of work arrives for an upstream that an operator
-    withdraws at some time, and one for another.
+    withdraws at some time, and one for another upstream.
     """
 
     def __init__(self, *, port):
-        """Start counting."""
+        """Start the counting thread."""
         super().__init__(daemon=True)
         self._port = port
         self._counts = {"sent": 0, "refused": 0, "sent_withdrawn": 0}
-        self._ungated = 0
+        self._sent_ignoring_lease = 0
         self.longest_gap_s = 0.0
         self._stopped = False
         self.start()
@@ -88,13 +88,13 @@
         gap_start_s = None
         while not self._stopped:
             now_s = time.monotonic()
-            leased = self._port.lease_remaining_s() > 0
+            has_lease = self._port.lease_remaining_s() > 0
             record = self._port.view().upstreams.get("shop-1")
-            open_here = record is not None and not record.withdrawn
-            self._counts["sent" if leased else "refused"] += 1
-            self._counts["sent_withdrawn"] += leased and open_here
-            self._ungated += open_here
-            if leased:
+            is_open = record is not None and not record.withdrawn
+            self._counts["sent" if has_lease else "refused"] += 1
+            self._counts["sent_withdrawn"] += has_lease and is_open
+            self._sent_ignoring_lease += is_open
+            if has_lease:
                 gap_start_s = None
             else:
                 gap_start_s = gap_start_s or now_s
@@ -103,17 +103,17 @@
             time.sleep(SAMPLE_S)
 
     def stop(self):
-        """Return the counts."""
+        """Stop counting and return the counts."""
         self._stopped = True
         self.join()
         return self._counts | {
-            "sent_withdrawn_without_lease": self._ungated,
+            "sent_withdrawn_without_lease": self._sent_ignoring_lease,
             "longest_gap_s": round(self.longest_gap_s, 3),
         }
 
 
 class Instance:
-    """The replicated state and what the benchmark asks of it."""
+    """The replicated state and the operations that the benchmark calls."""
 
     def __init__(self, *, settings):
         """Start the instance."""
@@ -124,12 +124,12 @@
         self._state = build_state(settings, server, PeerPool(), clock)
         self._port = self._state.port
         self._started_s = time.monotonic()
-        self._watch = None
+        self._counter = None
         server.start()
         self._state.start()
 
-    def status(self, ask):
-        """Return what this instance is."""
+    def status(self, request):
+        """Return the version, lease and replica status of this instance."""
         replica = self._state.replica and self._state.replica.status()
         return {
             "version": self._port.view().version,
@@ -138,19 +138,19 @@
             "voters": len(replica.configuration.voters) if replica else 0,
         }
 
-    def usage(self, ask):
+    def usage(self, request):
         """Return the processor time of this process."""
         times = os.times()
         return {"cpu_s": times.user + times.system}
 
-    def memory(self, ask):
+    def memory(self, request):
         """Return the resident memory of this process."""
         for line in Path("/proc/self/status").read_text().splitlines():
             if line.startswith("VmRSS"):
                 return {"rss_mb": int(line.split()[1]) / 1024}
         return {}
 
-    def announce(self, ask):
+    def announce(self, request):
         """Announce the upstream that is withdrawn later."""
         upstream = Upstream(
             upstream_id="shop-1",
@@ -165,8 +165,8 @@
         command = AnnounceUpstream(origin=self._origin(), upstream=upstream)
         return self._propose(command)
 
-    def withdraw(self, ask):
-        """Withdraw it, and say when that is in force everywhere."""
+    def withdraw(self, request):
+        """Withdraw that upstream and measure the time until in force."""
         record = self._port.view().upstreams["shop-1"]
         command = SetLabels(
             origin=self._origin(),
@@ -176,28 +176,28 @@
         )
         return self._propose(command) | self._wait()
 
-    def change(self, ask):
-        """Make one change, and say when it is in force everywhere."""
+    def change(self, request):
+        """Make one change and measure when it is in force everywhere."""
         start_s = time.monotonic()
         done = self._propose(self._command("change"))
         accepted_s = time.monotonic() - start_s
         return done | {"accepted_s": accepted_s} | self._wait()
 
-    def first(self, ask):
-        """Return when a change is accepted, trying again and again."""
+    def first(self, request):
+        """Return the time until a change is accepted, with retries."""
         start_s = time.monotonic()
         self._propose(self._command("change"))
         return {"accepted_s": time.monotonic() - start_s}
 
-    def load(self, ask):
-        """Propose from some threads for some time, or a number."""
+    def load(self, request):
+        """Propose commands from several threads for a time or a number."""
         latencies, errors = [], []
         start_s = time.monotonic()
         threads = [
             threading.Thread(
-                target=self._client, args=(ask, start_s, latencies, errors)
+                target=self._client, args=(request, start_s, latencies, errors)
             )
-            for _ in range(ask.threads)
+            for _ in range(request.threads)
         ]
         for thread in threads:
             thread.start()
@@ -213,22 +213,22 @@
             "p99_ms": 1e3 * latencies[len(latencies) * 99 // 100],
         }
 
-    def caught_up(self, ask):
-        """Return the time from the start to a version with a lease."""
+    def caught_up(self, request):
+        """Return the time from start until a version is held with a lease."""
         while True:
-            fresh = self._port.view().version >= ask.version
+            fresh = self._port.view().version >= request.version
             if fresh and self._port.lease_remaining_s() > 0:
                 return {"took_s": time.monotonic() - self._started_s}
             time.sleep(0.002)
 
-    def watch(self, ask):
-        """Begin to count work."""
-        self._watch = Watch(port=self._port)
+    def watch(self, request):
+        """Start to count work."""
+        self._counter = WorkCounter(port=self._port)
         return {}
 
-    def unwatch(self, ask):
-        """Return the counts of work."""
-        return self._watch.stop()
+    def unwatch(self, request):
+        """Stop counting work and return the counts."""
+        return self._counter.stop()
 
     def _wait(self):
         version = self._port.view().version
@@ -239,22 +239,22 @@
         result = self._port.propose(command, timeout_s=TIMEOUT_S)
         return {"version": getattr(result, "version", 0)}
 
-    def _client(self, ask, start_s, latencies, errors):
+    def _client(self, request, start_s, latencies, errors):
         number = 0
         while True:
             now_s = time.monotonic()
-            if ask.count and number >= ask.count:
+            if request.count and number >= request.count:
                 return
-            if not ask.count and now_s - start_s >= ask.seconds:
+            if not request.count and now_s - start_s >= request.seconds:
                 return
             try:
-                self._propose(self._command(ask.kind))
+                self._propose(self._command(request.kind))
                 latencies.append(time.monotonic() - now_s)
             except StateUnavailableError as exc:
                 errors.append(exc)
             number += 1
-            if ask.rate:
-                due_s = start_s + number / ask.rate
+            if request.rate:
+                due_s = start_s + number / request.rate
                 time.sleep(max(0.0, due_s - time.monotonic()))
 
     def _origin(self):
@@ -275,8 +275,8 @@
                 ),
                 digest="0" * 32,
             )
-        # Selectors of many names, so that versions need not be known; their
-        # number is bounded, as operators' is.
+        # Selectors have many names, so that concurrent changes seldom
+        # conflict in a version; their number is bounded, as in production.
         name = f"s{random.randrange(50)}"
         known = self._port.view().selectors.get(name)
         return ApplySelector(
@@ -293,10 +293,10 @@
     )
     instance = Instance(settings=read_settings(sys.argv[1]))
     print("{}", flush=True)
-    decoder = msgspec.json.Decoder(Ask)
+    decoder = msgspec.json.Decoder(ProcessRequest)
     for line in sys.stdin:
-        ask = decoder.decode(line)
-        answer = getattr(instance, ask.op)(ask)
+        request = decoder.decode(line)
+        answer = getattr(instance, request.op)(request)
         print(msgspec.json.encode(answer).decode(), flush=True)
 
 
--- a/benchmarks/control_member.py
+++ b/benchmarks/control_member.py
@@ -1,9 +1,10 @@
-"""One instance's control processes, without callers, for ``control_cost``.
+"""Runs the control part of one instance, without callers.
 
-Membership, homes and heartbeats are the product's own, over real sockets.
-The replicated state is a fixed value that every process computes from the
-numbers of instances and upstreams, and engines hold nothing, so that what is
-measured is membership, heartbeats of homes and loads alone.
+``bin/bench control-cost`` starts many of these processes.  Membership, homes
+and heartbeats are the product's own, over real sockets.  The replicated state
+is a fixed value that every process computes from the numbers of instances and
+upstreams, and engines hold no memory.  The measurement thus covers only
+membership, heartbeats of homes, and load reports.
 """
 
 import json
@@ -38,30 +39,33 @@
 class CountingSocket(peers.TSocket):
     """Counts the bytes of Thrift connections of both directions."""
 
-    passed = 0
+    total_bytes = 0
     lock = threading.Lock()
 
     def read(self, size):
-        """Read and count."""
+        """Read bytes and count them."""
         raw = super().read(size)
         self._count(len(raw))
         return raw
 
     def write(self, buff):
-        """Write and count."""
+        """Write bytes and count them."""
         self._count(len(buff))
         return super().write(buff)
 
     def _count(self, size):
         with self.lock:
-            CountingSocket.passed += size
+            CountingSocket.total_bytes += size
 
 
 class FixedState:
-    """State port over a value that only this process's homes change."""
+    """Implements the state port with a value that is local to this process.
+
+    Only this process's homes change it.
+    """
 
     def __init__(self, *, instances, upstreams):
-        """Give each upstream a home in turn."""
+        """Assign homes to upstreams in round-robin order."""
         self._state = ClusterState(
             version=1,
             upstreams=Map({u.upstream_id: _record(u) for u in upstreams}),
@@ -80,11 +84,11 @@
         return self._state
 
     def lease_remaining_s(self):
-        """Return a lease that never runs out."""
+        """Return the remaining time of a lease that never expires."""
         return LEASE_S
 
     def propose(self, command, *, timeout_s):
-        """Agree to become home; nothing else is proposed here."""
+        """Accept the assignment of a home; nothing else is proposed here."""
         if not isinstance(command, AssignHome):
             return None
         fence = command.expected_fence + 1
@@ -98,15 +102,15 @@
         return HomeAssigned(version=self._state.version, fence=fence)
 
     def progress(self):
-        """Return nothing; nobody takes over here."""
+        """Return nothing; no home is taken over here."""
         return ()
 
 
 class IdleEngines:
-    """Engines that hold nothing."""
+    """Engines that hold no memory."""
 
     def held(self, upstream):
-        """Return nothing."""
+        """Return no holds."""
         return ()
 
 
@@ -138,7 +142,7 @@
 @click.option("--warm-up", type=float, required=True)
 @click.option("--seconds", type=float, required=True)
 def main(number, addresses, upstreams, warm_up, seconds):
-    """Run one instance's control and print what it cost."""
+    """Run one instance's control and print its cost."""
     structlog.configure(
         logger_factory=structlog.PrintLoggerFactory(sys.stderr)
     )
@@ -170,13 +174,13 @@
     members.start()
     members.set_ready()
     homes.start()
-    mine = [
+    own_reports = [
         LoadReport(upstream_id=f"engine-{index}", incarnation=1)
         for index in range(number, upstreams, len(addresses))
     ]
-    _report_for(homes, mine, warm_up)
+    _report_for(homes, own_reports, warm_up)
     before = _readings(members)
-    _report_for(homes, mine, seconds)
+    _report_for(homes, own_reports, seconds)
     after = _readings(members)
     cost = {name: after[name] - before[name] for name in after}
     cost["seconds"] = seconds
@@ -184,7 +188,8 @@
     cost["rss_mb"] = psutil.Process().memory_info().rss / MEGABYTE
     sys.stdout.write(json.dumps(cost) + "\n")
     sys.stdout.flush()
-    # Others still measure; leaving now would show up in their figures.
+    # Other processes are still measuring; leaving the membership now would
+    # change their figures.
     time.sleep(warm_up)
 
 
@@ -201,7 +206,7 @@
     return {
         "cpu_s": time.process_time(),
         "udp_bytes": traffic.sent_bytes + traffic.received_bytes,
-        "tcp_bytes": CountingSocket.passed,
+        "tcp_bytes": CountingSocket.total_bytes,
     }
 
 
--- a/benchmarks/current.py
+++ b/benchmarks/current.py
@@ -1,8 +1,8 @@
-"""The product's policy over the fake engines.
+"""Implements a router that runs the product's policy over the fake engines.
 
-Eight entries, each with its own scheduler, and one ledger for each engine,
-as its home would keep it.  Reservations take no time here; loads are seen as
-they were at the last report.
+Eight entries have a scheduler each, and each engine has one ledger, as its
+home would keep it.  Reservations take no time here; schedulers use the loads
+of the last report.
 """
 
 from random import Random
@@ -28,14 +28,14 @@
 
 
 class Current:
-    """Routes by ``currantdeal.policy``.
+    """Routes requests by ``currantdeal.policy``.
 
     Parameters
     ----------
     scenario : Scenario
-        Gives the deployment.
+        Provides the deployment.
     make_ledger, make_scheduler : callable, optional
-        Build other parts, for ablations.
+        Factories of modified parts, for ablations.
     """
 
     preempts = False
@@ -50,7 +50,7 @@
         make_ledger=None,
         make_scheduler=None,
     ):
-        """Build entries, ledgers and the first reports."""
+        """Build entries and ledgers and collect the first load reports."""
         deployment = scenario.deployment
         self._loop = loop
         self._engines = engines
@@ -76,17 +76,17 @@
         ]
         self._report()
 
-    def arrive(self, request):
-        """Give a request to an entry in its caller's region."""
-        near = [
+    def receive(self, request):
+        """Pass a request to a random entry in its caller's region."""
+        nearby = [
             entry
             for entry in self._entries
             if entry.region == request.work.region
         ]
-        self._rng.choice(near).arrive(request)
+        self._rng.choice(nearby).receive(request)
 
-    def hang_up(self, request):
-        """Cancel what runs for a caller that is gone."""
+    def cancel(self, request):
+        """Cancel a request whose caller has given up."""
         for entry in self._entries:
             entry.scheduler.cancel(request.work.request_id)
         for engine in request.engines:
@@ -106,7 +106,7 @@
 
 
 class _Entry:
-    """One instance that serves callers."""
+    """One instance that serves callers, with its own scheduler."""
 
     def __init__(self, *, router, name, region, rng, make_scheduler):
         self.region = region
@@ -124,7 +124,7 @@
             queue=FairQueue(),
         )
 
-    def arrive(self, request):
+    def receive(self, request):
         self._budget.record_try()
         self._submit(request)
 
@@ -157,18 +157,24 @@
         now_s = self._loop.now_s
         decode = plan.choice.decode.upstream_id
         prefill = plan.choice.prefill.upstream_id
-        memory = self._ledgers[decode].reserve(plan.decode_ask, now_s=now_s)
-        if isinstance(memory, LedgerRefusal):
-            self._blocked(plan, decode, memory)
+        memory_grant = self._ledgers[decode].reserve(
+            plan.decode_ask, now_s=now_s
+        )
+        if isinstance(memory_grant, LedgerRefusal):
+            self._blocked(plan, decode, memory_grant)
             return
-        time = self._ledgers[prefill].reserve(plan.prefill_ask, now_s=now_s)
-        if isinstance(time, LedgerRefusal):
+        prefill_grant = self._ledgers[prefill].reserve(
+            plan.prefill_ask, now_s=now_s
+        )
+        if isinstance(prefill_grant, LedgerRefusal):
             self._ledgers[decode].release(plan.work.request_id)
-            self._blocked(plan, prefill, time)
+            self._blocked(plan, prefill, prefill_grant)
             return
         self.scheduler.reserved(plan, now_s=now_s)
         request = self._requests.pop(plan.work.request_id)
-        self._loop.after(time.start_in_s, self._start, request, plan, now_s)
+        self._loop.after(
+            prefill_grant.start_in_s, self._start, request, plan, now_s
+        )
 
     def _blocked(self, plan, upstream_id, refusal):
         self.scheduler.blocked(
@@ -181,12 +187,12 @@
     def _start(self, request, plan, planned_s):
         source = self._engines[plan.choice.prefill.upstream_id]
         target = self._engines[plan.choice.decode.upstream_id]
-        if request.gone:
+        if request.cancelled:
             self._release(request, plan)
             return
         request.attempt += 1
         request.engines = (source, target)
-        _Run(
+        _Attempt(
             entry=self, request=request, plan=plan, planned_s=planned_s
         ).start(source, target)
 
@@ -197,7 +203,7 @@
             )
 
 
-class _Run:
+class _Attempt:
     """One attempt at a request, from prefill to the last output."""
 
     def __init__(self, *, entry, request, plan, planned_s):
@@ -205,7 +211,7 @@
         self._request = request
         self._plan = plan
         self._planned_s = planned_s
-        self._before = request.computed_tokens
+        self._computed_before = request.computed_tokens
         self._began_s = entry._loop.now_s
 
     def start(self, source, target):
@@ -220,7 +226,7 @@
         entry, request = self._entry, self._request
         now_s = entry._loop.now_s
         name = source.upstream.upstream_id
-        computed = request.computed_tokens - self._before
+        computed = request.computed_tokens - self._computed_before
         entry.scheduler.prefilled(
             request.work,
             name,
@@ -234,11 +240,11 @@
             request=request,
             pieces=self._plan.decode_ask.pieces,
             grow=lambda: self._grow(ledger, target),
-            ended=lambda whole: self._ended(whole),
+            on_end=lambda whole: self._on_end(whole),
         )
 
         def fetched(arrived):
-            if arrived and not request.gone:
+            if arrived and not request.cancelled:
                 target.decode(stream)
             else:
                 target.cancel(stream.key)
@@ -254,10 +260,10 @@
         return grown
 
     def _check_late(self):
-        # A late answer is worth nothing to the caller but goes on holding
-        # memory that an answer in time could use.
-        if self._request.first_s is None and not self._request.gone:
-            self._request.gone = True
+        # A late answer has no value to the caller, but keeps memory reserved
+        # that a request could use which can still meet its deadline.
+        if self._request.first_s is None and not self._request.cancelled:
+            self._request.cancelled = True
             for engine in self._request.engines:
                 engine.cancel(
                     (self._request.work.request_id, self._request.attempt)
@@ -267,7 +273,7 @@
     def _failed(self):
         entry, request = self._entry, self._request
         entry._release(request, self._plan)
-        if request.gone:
+        if request.cancelled:
             return
         decision = entry._budget.decide(
             ran=Ran.YES,
@@ -280,14 +286,14 @@
         else:
             request.refused = True
 
-    def _ended(self, whole):
+    def _on_end(self, whole):
         entry, request = self._entry, self._request
         entry._release(request, self._plan)
         if not whole:
             self._failed()
             return
         request.done = True
-        request.useful_tokens = request.computed_tokens - self._before
+        request.useful_tokens = request.computed_tokens - self._computed_before
         now_s = entry._loop.now_s
         path_s = request.first_s - self._planned_s
         entry.scheduler.first_output(request.work, path_s=path_s)
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,9 +1,9 @@
-"""The two users' deployments and what their callers send.
+"""Defines the two users' deployments and the requests of their callers.
 
-Engines, regions and caller counts follow the sizes of today; prompt and
-output lengths are assumptions, chosen so that a decode engine at its limit
-holds about a dozen requests and a prefill takes as long as some tens of
-decode steps.
+Engines, regions and caller counts have the sizes of the real deployments.
+Prompt and output lengths are assumptions: with them, a decode engine at its
+limit holds about a dozen requests, and a prefill takes as long as some tens
+of decode steps.
 """
 
 import math
@@ -22,24 +22,24 @@
 
 MODEL = "assistant"
 MAX_OUTPUT_TOKENS = 2_000
-SPREAD = 0.5
+LENGTH_SIGMA = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
 class CallerProfile:
-    """What one caller sends.
+    """The requests of one caller.
 
     Parameters
     ----------
     share : float
-        Of all requests.
+        Share of all requests.
     prefix_tokens : int
-        Leading tokens that all its prompts have in common.
+        Number of leading tokens that all its prompts have in common.
     prompt_tokens, output_tokens : int
-        Medians; single requests scatter around them.
+        Medians of the log-normally distributed lengths.
     prefix : str
-        Callers that name the same prefix send the same leading tokens; empty
-        for a prefix of its own.
+        Callers with the same prefix name send the same leading tokens; empty
+        for a prefix that no other caller sends.
     """
 
     caller: CallerId
@@ -73,7 +73,7 @@
     entries: int = 8
 
     def upstreams(self):
-        """Return the engines as they announce themselves."""
+        """Return the engines as their announcements describe them."""
         roles = [Role.PREFILL] * self.prefill_engines
         roles += [Role.DECODE] * self.decode_engines
         return tuple(
@@ -98,15 +98,16 @@
         )
 
     def capacity_per_s(self, callers=()):
-        """Return the requests a second that the engines can carry at most.
+        """Return the maximum requests a second that the engines can serve.
 
-        The lesser of what prefill can compute, without caching, and what
-        decode engines can hold in memory and still generate in time.
+        It is the lesser of the prefill throughput without caching and the
+        throughput of the decode engines within their memory and the latency
+        target between outputs.
 
         Parameters
         ----------
         callers : tuple of CallerProfile
-            Who sends; the deployment's own callers when empty.
+            Callers that send; the deployment's own callers if empty.
         """
         prompt, output = _mean_lengths(callers or self.callers)
         prefill_s = self.model.prefill_s(tokens=prompt)
@@ -122,10 +123,10 @@
 
 def draw_work(rng, profile, *, request_id, now_s, deployment):
     """Return one request's work and its true output length."""
-    own = _scatter(rng, profile.prompt_tokens)
-    output = min(MAX_OUTPUT_TOKENS, _scatter(rng, profile.output_tokens))
+    own = _draw_length(rng, profile.prompt_tokens)
+    output = min(MAX_OUTPUT_TOKENS, _draw_length(rng, profile.output_tokens))
     blocks = profile.prefix_tokens // BLOCK_TOKENS
-    prefix_key = hash_of(profile.prefix or profile.caller)
+    prefix_key = stable_hash(profile.prefix or profile.caller)
     work = Work(
         request_id=request_id,
         caller=profile.caller,
@@ -142,27 +143,28 @@
 
 
 def _mean_lengths(callers):
-    spread = math.exp(SPREAD**2 / 2)
+    mean_factor = math.exp(LENGTH_SIGMA**2 / 2)
     prompt = sum(
-        caller.share * (caller.prefix_tokens + caller.prompt_tokens * spread)
+        caller.share
+        * (caller.prefix_tokens + caller.prompt_tokens * mean_factor)
         for caller in callers
     )
     output = sum(
-        caller.share * caller.output_tokens * spread for caller in callers
+        caller.share * caller.output_tokens * mean_factor for caller in callers
     )
     return int(prompt), int(output)
 
 
-def hash_of(text):
-    """Return a number for a text that is the same in every process."""
+def stable_hash(text):
+    """Return a hash of a text that is the same in every process."""
     number = 0
     for char in text:
         number = (number * 131 + ord(char)) % 1_000_000_007
     return number * 1_000
 
 
-def _scatter(rng, median):
-    return max(1, int(median * math.exp(rng.gauss(0.0, SPREAD))))
+def _draw_length(rng, median):
+    return max(1, int(median * math.exp(rng.gauss(0.0, LENGTH_SIGMA))))
 
 
 def _callers(names, regions, *, prefix, prompt, outputs):
--- a/benchmarks/experiments/ablations.py
+++ b/benchmarks/experiments/ablations.py
@@ -1,4 +1,8 @@
-"""Each module off in turn, in the experiment that is meant for it."""
+"""Measures the policy with each of its modules disabled in turn.
+
+Every variant runs in all experiments, among them the one that exercises its
+module.
+"""
 
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
@@ -22,23 +26,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ablations:
-    """Measures by deployment, experiment and what was off."""
+    """Measures by deployment, experiment and disabled module."""
 
     experiment: str
     seed: int
     deployments: dict[str, dict[str, dict[str, Measures]]]
 
     def render(self):
-        """Return goodput and waste of each run, one a line."""
+        """Return goodput and waste of each run, one run per line."""
         return "\n".join(
-            f"{deployment:9} {name:17} {off:16}"
-            f" goodput {found.goodput:.3f} wasted {found.wasted_prefill:.4f}"
-            f" late {found.late:.3f} polite"
-            f" {found.details.get('polite_kept', 0.0):.3f}"
-            f" long {found.details.get('goodput_long', 0.0):.3f}"
+            f"{deployment:9} {name:17} {disabled:16}"
+            f" goodput {measures.goodput:.3f}"
+            f" wasted {measures.wasted_prefill:.4f}"
+            f" late {measures.late:.3f} polite"
+            f" {measures.details.get('polite_kept', 0.0):.3f}"
+            f" long {measures.details.get('goodput_long', 0.0):.3f}"
             for deployment, by_name in self.deployments.items()
-            for name, by_off in by_name.items()
-            for off, found in by_off.items()
+            for name, by_disabled in by_name.items()
+            for disabled, measures in by_disabled.items()
         )
 
 
@@ -58,22 +63,24 @@
 def run(*, seed):
     """Return ``Ablations``."""
     jobs = [
-        (deployment, name, off, seed)
+        (deployment, name, disabled, seed)
         for deployment in DEPLOYMENTS
         for name in MEASURES
-        for off in ABLATIONS
+        for disabled in ABLATIONS
     ]
     deployments = {deployment.name: {} for deployment in DEPLOYMENTS}
     with ProcessPoolExecutor(WORKERS) as workers:
-        for job, found in zip(jobs, workers.map(_one, jobs), strict=True):
-            deployment, name, off, _ = job
-            by_off = deployments[deployment.name].setdefault(name, {})
-            by_off[off] = found
+        for job, measures in zip(
+            jobs, workers.map(_run_job, jobs), strict=True
+        ):
+            deployment, name, disabled, _ = job
+            by_disabled = deployments[deployment.name].setdefault(name, {})
+            by_disabled[disabled] = measures
     return Ablations(
         experiment="ablations", seed=seed, deployments=deployments
     )
 
 
-def _one(job):
-    deployment, name, off, seed = job
-    return MEASURES[name](deployment, ABLATIONS[off], seed)
+def _run_job(job):
+    deployment, name, disabled, seed = job
+    return MEASURES[name](deployment, ABLATIONS[disabled], seed)
--- a/benchmarks/experiments/burst.py
+++ b/benchmarks/experiments/burst.py
@@ -1,4 +1,7 @@
-"""A burst of four times capacity for five seconds in a quiet time."""
+"""Measures recovery from a burst of 4 times capacity for five seconds.
+
+The load before and after the burst is below capacity.
+"""
 
 from benchmarks.comparison import compare
 from benchmarks.measures import goodput_of, measure
@@ -19,7 +22,7 @@
 
 
 def measure_burst(deployment, router, seed):
-    """Return the measures, and goodput in and well after the burst."""
+    """Return the measures, and the goodput during and well after the burst."""
     scenario = Scenario(
         deployment=deployment,
         phases=(
@@ -29,8 +32,8 @@
         ),
     )
     requests, engines = replay(scenario, router, seed=seed)
-    found = measure(scenario, requests, engines)
-    return found.with_details(
+    measures = measure(scenario, requests, engines)
+    return measures.with_details(
         goodput_in_burst=goodput_of(scenario, requests, _in_burst),
         goodput_after=goodput_of(scenario, requests, _is_after),
     )
--- a/benchmarks/experiments/control_cost.py
+++ b/benchmarks/experiments/control_cost.py
@@ -1,8 +1,9 @@
-"""What control costs an instance, as slopes over instances and upstreams.
+"""Measures the cost of control as slopes over instances and upstreams.
 
-Real processes at several sizes; a straight line is fitted through each cost
-and given with its standard error, for the page on capacity.  Nothing here
-depends on the seed: the processes' own chance and the machine's do.
+Real processes run at several sizes.  A straight line is fitted through each
+cost and reported with its standard error, for the page on capacity.  The seed
+has no effect: results vary with the processes' own random draws and with the
+machine.
 """
 
 import json
@@ -37,7 +38,7 @@
     udp_bytes_per_s, tcp_bytes_per_s : float
         Sent and received, without headers of IP, UDP and TCP.
     known : int
-        Fewest members that any instance knew in the end.
+        Smallest member list of any instance at the end.
     """
 
     members: int
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Slope:
-    """A straight line through a cost over a size, and its error."""
+    """A straight line fitted through a cost over a size, and its error."""
 
     cost: str
     over: str
@@ -102,24 +103,28 @@
     Raises
     ------
     BenchError
-        If more processes are asked for than a machine should run.
+        If more processes are requested than a machine should run.
     """
     if members > MAX_MEMBERS:
-        raise BenchError(f"at most {MAX_MEMBERS} processes")
+        raise BenchError(
+            f"cannot start {members} processes: the limit is {MAX_MEMBERS}"
+        )
     ports = PortReservations()
     addresses = [ports.take_address() for _ in range(members)]
     warm_up_s = WARM_UP_S + members * WARM_UP_PER_MEMBER_S
-    started = []
+    processes = []
     try:
         for number in range(members):
-            started.append(
+            processes.append(
                 _start(number, addresses, upstreams, warm_up_s, seconds)
             )
-        costs = [json.loads(one.stdout.readline()) for one in started]
+        costs = [
+            json.loads(process.stdout.readline()) for process in processes
+        ]
     finally:
-        for one in started:
-            one.kill()
-            one.wait()
+        for process in processes:
+            process.kill()
+            process.wait()
         ports.close()
     return _point(members, upstreams, seconds, costs)
 
@@ -129,10 +134,10 @@
     sizes = np.array([getattr(point, over) for point in points], float)
     costs = np.array([getattr(point, cost) for point in points], float)
     per_unit, at_zero = np.polyfit(sizes, costs, 1)
-    left = costs - (at_zero + per_unit * sizes)
-    freedom = max(1, len(points) - 2)
+    residuals = costs - (at_zero + per_unit * sizes)
+    degrees_of_freedom = max(1, len(points) - 2)
     spread = ((sizes - sizes.mean()) ** 2).sum()
-    error = np.sqrt((left**2).sum() / freedom / spread)
+    error = np.sqrt((residuals**2).sum() / degrees_of_freedom / spread)
     return Slope(
         cost=cost,
         over=over,
@@ -175,7 +180,7 @@
 
 
 def line_of(values):
-    """Return a row of named values as text."""
+    """Return named values as one line of text."""
     return "  ".join(f"{name}={_short(v)}" for name, v in values.items())
 
 
--- a/benchmarks/experiments/crash.py
+++ b/benchmarks/experiments/crash.py
@@ -1,4 +1,4 @@
-"""The home of the engines is killed under load."""
+"""Measures a failover: the home of the engines is killed under load."""
 
 from benchmarks.failure_runs import FailureRun
 
@@ -7,13 +7,19 @@
 
 def run(*, seed):
     """Return a ``FailureReport``."""
-    runs = FailureRun(seed=seed)
+    failure_run = FailureRun(seed=seed)
     try:
-        home = runs.home()
-        runs.begin()
-        runs.world.fail(home)
-        runs.note("another home", lambda: runs.home() in runs.world.names())
-        runs.note("declared dead", lambda: runs.believed(home) == {"dead"})
-        return runs.end("crash")
+        home = failure_run.home()
+        failure_run.begin()
+        failure_run.world.fail(home)
+        failure_run.record_time(
+            "another home",
+            lambda: failure_run.home() in failure_run.world.names(),
+        )
+        failure_run.record_time(
+            "declared dead",
+            lambda: failure_run.reported_statuses(home) == {"dead"},
+        )
+        return failure_run.end("crash")
     finally:
-        runs.world.close()
+        failure_run.world.close()
--- a/benchmarks/experiments/decision_cost.py
+++ b/benchmarks/experiments/decision_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of one decision against the number of upstreams known.
+"""Measures the processor time of a decision over the number of upstreams.
 
-A decision is everything that one request asks of the policy at its entry:
-admission, its turn, the choice of both engines and what is learned of the
-reservation.  It is timed with a warm cache of hints and loads, as under
-traffic, in rounds of which the median counts.
+A decision covers all work of the policy for one request at its entry:
+admission, queueing, the choice of both engines and the update after the
+reservation.  It is timed with warm caches of hints and loads, as under
+traffic; the result is the median over several rounds.
 """
 
 import time
@@ -45,7 +45,8 @@
     Parameters
     ----------
     growth : float
-        Time with 680 upstreams over time with 42; 16 if it grew as they do.
+        Time with 680 upstreams over time with 42; about 16 if the time grew
+        linearly.
     """
 
     experiment: str
@@ -54,7 +55,7 @@
     growth: float
 
     def render(self):
-        """Return a table for people."""
+        """Return a human-readable table."""
         lines = [
             f"{point.upstreams:6} upstreams {point.decision_us:8.1f} us"
             for point in self.points
--- a/benchmarks/experiments/drain.py
+++ b/benchmarks/experiments/drain.py
@@ -1,4 +1,4 @@
-"""The home of the engines is stopped as planned, under load."""
+"""Measures a planned stop of the home of the engines under load."""
 
 from benchmarks.failure_runs import FailureRun
 from currantdeal.adapters.settings import TimingSettings
@@ -9,15 +9,18 @@
 def run(*, seed):
     """Return a ``FailureReport``."""
     timing = TimingSettings(entries_keep_s=1.0)
-    runs = FailureRun(seed=seed, timing=timing)
+    failure_run = FailureRun(seed=seed, timing=timing)
     try:
-        home = runs.home()
-        instance = runs.world.cluster.instance(home)
-        runs.begin()
+        home = failure_run.home()
+        instance = failure_run.world.cluster.instance(home)
+        failure_run.begin()
         status = instance.terminate(limit_s=60.0)
-        runs.note("exit", lambda: status == 0)
-        runs.world.failed.add(home)
-        runs.note("another home", lambda: runs.home() in runs.world.names())
-        return runs.end("drain")
+        failure_run.record_time("exit", lambda: status == 0)
+        failure_run.world.failed.add(home)
+        failure_run.record_time(
+            "another home",
+            lambda: failure_run.home() in failure_run.world.names(),
+        )
+        return failure_run.end("drain")
     finally:
-        runs.world.close()
+        failure_run.world.close()
--- a/benchmarks/experiments/hot_caller.py
+++ b/benchmarks/experiments/hot_caller.py
@@ -1,7 +1,8 @@
-"""One caller sends twice the capacity beside polite ones.
+"""Measures fairness beside a noisy neighbour.
 
-The polite callers together send half of capacity.  What they get is compared
-with what the same callers get without the hot one.
+One hot caller sends twice the capacity; the others, the polite callers,
+together send half of the capacity.  Their goodput is compared with that of the
+same callers without the hot one.
 """
 
 from benchmarks.comparison import compare
--- a/benchmarks/experiments/hot_prefix.py
+++ b/benchmarks/experiments/hot_prefix.py
@@ -1,9 +1,9 @@
-"""Most prompts begin with the same long text.
+"""Measures cache use and load balance when most prompts share a long prefix.
 
-Seven in ten requests, of all callers, begin with one catalogue of 6,144
-tokens and get short answers, so that prefill is what is scarce.  Offered is
-1.5 times what the engines carry without any caching: caches decide what can
-be served, and an engine that draws all of them by affinity is overloaded.
+Seven in ten requests of all callers begin with one catalogue of 6,144 tokens
+and get short answers, so that prefill is the bottleneck.  The offered load is
+1.5 times the capacity without caching.  Goodput thus depends on cache hits,
+but an engine that receives all these requests by affinity is overloaded.
 """
 
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 def measure_prefix(deployment, router, seed):
-    """Return the measures of one router."""
+    """Return the ``Measures`` of one router."""
     hot = tuple(
         replace(
             caller,
--- a/benchmarks/experiments/long_among_short.py
+++ b/benchmarks/experiments/long_among_short.py
@@ -1,7 +1,8 @@
-"""Long jobs among short ones, at a little over capacity.
+"""Measures head-of-line blocking between long and short requests.
 
 One request in ten has a prompt of some ten thousand tokens and a long answer;
-the others are short.  Neither kind should pay for the other.
+the others are short.  The load is slightly above capacity.  Neither kind
+should lose goodput because of the other.
 """
 
 from dataclasses import replace
@@ -27,11 +28,11 @@
 
 
 def measure_mix(deployment, router, seed):
-    """Return the measures and the goodput of either kind."""
+    """Return the measures and the goodput of each kind."""
     scenario = steady(deployment, LOAD, callers=_mix(deployment.callers))
     requests, engines = replay(scenario, router, seed=seed)
-    found = measure(scenario, requests, engines)
-    return found.with_details(
+    measures = measure(scenario, requests, engines)
+    return measures.with_details(
         goodput_short=goodput_of(scenario, requests, lambda w: not _long(w)),
         goodput_long=goodput_of(scenario, requests, _long),
     )
--- a/benchmarks/experiments/overload.py
+++ b/benchmarks/experiments/overload.py
@@ -1,8 +1,8 @@
-"""Offered load from half of capacity to three times of it.
+"""Measures offered loads from half of capacity to three times capacity.
 
-The main figures are those at 1.5 times capacity; the details give goodput and
-waste at every load, and the goodput kept beyond capacity, as answers a second
-over the answers a second at capacity.
+The main figures are those at 1.5 times capacity.  The details give goodput and
+waste at every load and, for loads beyond capacity, the good answers a second
+relative to those at capacity.
 """
 
 from benchmarks.comparison import compare
@@ -21,16 +21,16 @@
 
 def measure_loads(deployment, router, seed):
     """Return the measures of one router at the main load, with all loads."""
-    found = {
+    by_load = {
         load: run_scenario(steady(deployment, load), router, seed=seed)
         for load in LOADS
     }
     details = {}
-    for load, measures in found.items():
+    for load, measures in by_load.items():
         details[f"goodput_at_{load}"] = measures.goodput
         details[f"wasted_prefill_at_{load}"] = measures.wasted_prefill
-    at_capacity = found[1.0].good_per_s
+    at_capacity = by_load[1.0].good_per_s
     for load in LOADS:
         if load > 1.0:
-            details[f"kept_at_{load}"] = found[load].good_per_s / at_capacity
-    return found[MAIN_LOAD].with_details(**details)
+            details[f"kept_at_{load}"] = by_load[load].good_per_s / at_capacity
+    return by_load[MAIN_LOAD].with_details(**details)
--- a/benchmarks/experiments/overload_real.py
+++ b/benchmarks/experiments/overload_real.py
@@ -1,14 +1,14 @@
-"""Overload against real processes: three instances and four engines.
+"""Measures overload of real processes: three instances and four engines.
 
-The engines are the stand-ins, which follow the rules of the fake; times and
-requests are real, so figures depend on the machine.
+The engines are stand-ins that follow the same rules as ``benchmarks.fake``.
+Times and requests are real, so the results depend on the machine.
 """
 
 from dataclasses import dataclass
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from benchmarks.real_load import RealMeasures, offer, seeded
+from benchmarks.real_load import RealMeasures, offer_load, seeded_rng
 from currantdeal.core import Selector
 from currantdeal.testing.cluster import Cluster
 from currantdeal.testing.operator import OperatorCalls
@@ -31,14 +31,14 @@
     current: tuple[RealMeasures, ...]
 
     def render(self):
-        """Return one line for each load."""
+        """Return one line per load."""
         return "\n".join(
-            f"load {one.load:.1f} offered {one.offered_per_s:.2f}/s"
-            f" good {one.good_per_s:.2f}/s ({one.goodput:.3f})"
-            f" ttft p95 {one.ttft_p95_s:.2f} s"
-            f" itl p95 {one.itl_p95_ms:.1f} ms"
-            f" refused {one.refused:.3f} broken {one.broken:.3f}"
-            for one in self.current
+            f"load {result.load:.1f} offered {result.offered_per_s:.2f}/s"
+            f" good {result.good_per_s:.2f}/s ({result.goodput:.3f})"
+            f" ttft p95 {result.ttft_p95_s:.2f} s"
+            f" itl p95 {result.itl_p95_ms:.1f} ms"
+            f" refused {result.refused:.3f} broken {result.broken:.3f}"
+            for result in self.current
         )
 
 
@@ -47,8 +47,10 @@
     with TemporaryDirectory() as folder:
         shape = ClusterShape(instances=spread(3))
         with Cluster(folder=Path(folder), shape=shape) as cluster:
-            found = _measure(cluster, seed)
-    return RealOverload(experiment="overload-real", seed=seed, current=found)
+            measures = _measure(cluster, seed)
+    return RealOverload(
+        experiment="overload-real", seed=seed, current=measures
+    )
 
 
 def _measure(cluster, seed):
@@ -60,20 +62,20 @@
     cluster.wait_upstreams()
     operator = OperatorCalls(address=cluster.caller_addresses[0])
     operator.apply_selector(Selector(name="everything"))
-    offer(
+    offer_load(
         cluster.caller_addresses,
         load=0.5,
         per_s=CAPACITY_PER_S,
         seconds=SECONDS,
-        rng=seeded(seed, "warm up"),
+        rng=seeded_rng(seed, "warm up"),
     )
     return tuple(
-        offer(
+        offer_load(
             cluster.caller_addresses,
             load=load,
             per_s=CAPACITY_PER_S,
             seconds=SECONDS,
-            rng=seeded(seed, load),
+            rng=seeded_rng(seed, load),
         )
         for load in LOADS
     )
--- a/benchmarks/experiments/partition.py
+++ b/benchmarks/experiments/partition.py
@@ -1,4 +1,7 @@
-"""The leader is cut off silently under load, and the network heals."""
+"""Measures a partition: the leader is cut off under load, then reconnected.
+
+The cut is silent: connections stay open but carry nothing.
+"""
 
 from benchmarks.failure_runs import FailureRun
 
@@ -7,27 +10,31 @@
 
 def run(*, seed):
     """Return a ``FailureReport``."""
-    runs = FailureRun(seed=seed, proxied=True)
-    world = runs.world
+    failure_run = FailureRun(seed=seed, proxied=True)
+    world = failure_run.world
     try:
         name = world.leader()
-        runs.begin()
+        failure_run.begin()
         world.failed.add(name)
         world.cluster.isolate(name)
         cut_off = world.cluster.instance(name)
-        runs.note("no lease at the one cut off", lambda: not cut_off.ready())
-        runs.note("another leader", lambda: world.leader() != name)
-        runs.note(
+        failure_run.record_time(
+            "no lease at the one cut off", lambda: not cut_off.ready()
+        )
+        failure_run.record_time(
+            "another leader", lambda: world.leader() != name
+        )
+        failure_run.record_time(
             "change accepted",
             lambda: world.apply("cut", {"name": "cut"}).status == 200,
         )
-        runs.begin()
+        failure_run.begin()
         world.cluster.heal()
-        runs.note("after healing: ready", cut_off.ready)
-        runs.note(
+        failure_run.record_time("after healing: ready", cut_off.ready)
+        failure_run.record_time(
             "after healing: alive to all",
-            lambda: runs.believed(name) == {"alive"},
+            lambda: failure_run.reported_statuses(name) == {"alive"},
         )
-        return runs.end("partition")
+        return failure_run.end("partition")
     finally:
         world.close()
--- a/benchmarks/experiments/silent_connections.py
+++ b/benchmarks/experiments/silent_connections.py
@@ -1,4 +1,7 @@
-"""Every open connection of the system goes silent at once, under load."""
+"""Measures recovery when every open connection goes silent under load.
+
+New connections work.
+"""
 
 from benchmarks.failure_runs import FailureRun
 
@@ -8,15 +11,17 @@
 
 def run(*, seed):
     """Return a ``FailureReport``."""
-    runs = FailureRun(seed=seed, proxied=True)
+    failure_run = FailureRun(seed=seed, proxied=True)
     try:
-        runs.begin()
-        runs.world.cluster.silence_open()
-        runs.note("a leader is known", runs.world.leader)
-        runs.note("answers again", lambda: _serve(runs.world))
-        return runs.end("silent-connections")
+        failure_run.begin()
+        failure_run.world.cluster.silence_open()
+        failure_run.record_time("a leader is known", failure_run.world.leader)
+        failure_run.record_time(
+            "answers again", lambda: _serve(failure_run.world)
+        )
+        return failure_run.end("silent-connections")
     finally:
-        runs.world.close()
+        failure_run.world.close()
 
 
 def _serve(world):
--- a/benchmarks/experiments/slopes.py
+++ b/benchmarks/experiments/slopes.py
@@ -1,10 +1,10 @@
-"""Slopes for the page on capacity: what each more of something costs.
+"""Measures marginal costs as slopes, for the page on capacity.
 
-State is measured in this process over growing numbers of upstreams, claims
-and callers; the view of the state is spread over real processes at three
-sizes, without proxies, with three replicas.  ``bin/bench control-cost`` has
-the slopes of membership and homes, ``bin/bench stream-cost`` those of
-streams and ``bin/bench decision-cost`` those of decisions.
+The state is measured in this process with growing numbers of upstreams,
+claims and callers.  The view of the state is measured over real processes at
+three sizes, without proxies, with three replicas.  ``bin/bench control-cost``
+measures the slopes of membership and homes, ``bin/bench stream-cost`` those
+of streams and ``bin/bench decision-cost`` those of decisions.
 """
 
 import tempfile
@@ -60,11 +60,11 @@
     Parameters
     ----------
     heap_bytes, snapshot_bytes : float
-        In memory, and encoded.
+        Size in memory, and as an encoded snapshot.
     apply_us : float
-        Median processor time of the commands that made it.
+        Median processor time to apply the last command.
     match_us : float
-        Time to match all upstreams anew after a change; 0 for claims.
+        Time to match all upstreams again after a change; 0 for claims.
     """
 
     count: int
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerPoint:
-    """What an entry keeps of some number of callers, in bytes of memory."""
+    """Memory that an entry uses for some number of callers, in bytes."""
 
     count: int
     heap_bytes: float
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReservationPoint:
-    """Processor time of reservations and releases, entry and home together."""
+    """Processor time of reservations and releases at entry and home."""
 
     count: int
     cpu_us: float
@@ -92,16 +92,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ViewPoint:
-    """The view at some number of instances.
+    """Cost and delay of the view at some number of instances.
 
     Parameters
     ----------
     leader_cpu_ms_per_s, replica_cpu_ms_per_s, entry_cpu_ms_per_s : float
-        Idle; the mean over the instances of a kind.
+        Processor time when idle; the mean over the instances of a kind.
     leader_rss_mb, entry_rss_mb : float
         Resident memory.
     in_force_s, in_force_max_s : float
-        From accepted to in force at all instances.
+        Time from a change's acceptance until in force at all instances.
     """
 
     instances: int
@@ -140,7 +140,7 @@
 
 
 def run(*, seed, instances=INSTANCES):
-    """Return a ``Report``; nothing depends on the seed."""
+    """Return a ``Report``; the seed has no effect."""
     by_upstreams = tuple(measure_upstreams(count) for count in UPSTREAMS)
     by_claims = tuple(measure_claims(count) for count in CLAIMS)
     by_callers = tuple(measure_callers(count) for count in CALLERS)
@@ -220,7 +220,7 @@
 
 
 def measure_callers(count):
-    """Return the ``CallerPoint`` of keys and learned lengths."""
+    """Return the ``CallerPoint`` of keys and observed output lengths."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     keys = tuple(_key_of(number) for number in range(count))
@@ -290,15 +290,15 @@
     entries = cluster.names[REPLICAS:]
     spent = _idle_cpu(cluster)
     client = cluster.children[cluster.names[-1]]
-    changes = [client.ask("change") for _ in range(CHANGES)]
+    changes = [client.call("change") for _ in range(CHANGES)]
     in_force = [change["in_force_s"] for change in changes]
     return ViewPoint(
         instances=len(cluster.names),
         leader_cpu_ms_per_s=spent[leader],
         replica_cpu_ms_per_s=_mean(spent[name] for name in followers),
         entry_cpu_ms_per_s=_mean(spent[name] for name in entries),
-        leader_rss_mb=cluster.children[leader].ask("memory")["rss_mb"],
-        entry_rss_mb=client.ask("memory")["rss_mb"],
+        leader_rss_mb=cluster.children[leader].call("memory")["rss_mb"],
+        entry_rss_mb=client.call("memory")["rss_mb"],
         in_force_s=median(in_force),
         in_force_max_s=max(in_force),
     )
@@ -313,7 +313,7 @@
 
 def _cpu(cluster):
     return {
-        name: child.ask("usage")["cpu_s"]
+        name: child.call("usage")["cpu_s"]
         for name, child in cluster.children.items()
     }
 
--- a/benchmarks/experiments/slow_upstream.py
+++ b/benchmarks/experiments/slow_upstream.py
@@ -1,4 +1,7 @@
-"""One decode engine gets four times slower without failing."""
+"""Measures a gray failure: a decode engine becomes 4 times slower.
+
+The engine reports no errors.
+"""
 
 from benchmarks.comparison import compare
 from benchmarks.measures import goodput_of, measure
@@ -9,7 +12,7 @@
 LOAD = 0.6
 FACTOR = 4.0
 SLOW_FROM_S = 20.0
-FOUND_S = 10.0
+DETECTION_S = 10.0
 
 
 def run(*, seed):
@@ -18,7 +21,7 @@
 
 
 def measure_slow(deployment, router, seed):
-    """Return the measures, and goodput ten seconds after it got slow."""
+    """Return the measures, and the goodput from 10 s after the slowdown."""
     scenario = steady(
         deployment,
         LOAD,
@@ -30,7 +33,7 @@
     after = goodput_of(
         scenario,
         requests,
-        lambda work: work.arrived_s >= SLOW_FROM_S + FOUND_S,
+        lambda work: work.arrived_s >= SLOW_FROM_S + DETECTION_S,
     )
-    found = measure(scenario, requests, engines)
-    return found.with_details(goodput_once_found=after)
+    measures = measure(scenario, requests, engines)
+    return measures.with_details(goodput_once_found=after)
--- a/benchmarks/experiments/stream_cost.py
+++ b/benchmarks/experiments/stream_cost.py
@@ -1,4 +1,7 @@
-"""Processor time, memory and delay of many slow streams at one instance."""
+"""Measures processor time, memory and delay of many slow streams.
+
+All streams go through one instance.
+"""
 
 from dataclasses import dataclass
 
@@ -17,7 +20,7 @@
     costs: tuple[StreamCost, ...]
 
     def render(self):
-        """Return one line for each number of streams."""
+        """Return one line per number of streams."""
         lines = ["streams  us/chunk  chunks/core/s  gap p95 ms  MB"]
         for cost in self.costs:
             lines.append(
@@ -29,7 +32,7 @@
 
 
 def run(*, seed):
-    """Return ``StreamCosts``; the seed decides nothing here."""
+    """Return ``StreamCosts``; the seed has no effect."""
     costs = tuple(
         measure(
             streams=count,
--- a/benchmarks/experiments/withdrawal.py
+++ b/benchmarks/experiments/withdrawal.py
@@ -1,4 +1,7 @@
-"""An operator withdraws an engine under load, one instance being cut off."""
+"""Measures the withdrawal of an engine under load.
+
+One instance is cut off from the others when the operator withdraws the engine.
+"""
 
 from benchmarks.failure_runs import FailureRun
 
@@ -9,17 +12,17 @@
 
 def run(*, seed):
     """Return a ``FailureReport``."""
-    runs = FailureRun(seed=seed, proxied=True)
-    world = runs.world
+    failure_run = FailureRun(seed=seed, proxied=True)
+    world = failure_run.world
     try:
         world.failed.add(CUT_OFF)
         world.cluster.isolate(CUT_OFF)
-        runs.begin()
+        failure_run.begin()
         accepted_s = world.set_withdrawn(ENGINE, True, at=world.any_instance())
-        runs.note("accepted", lambda: accepted_s)
+        failure_run.record_time("accepted", lambda: accepted_s)
         world.await_served(20)
-        report = runs.end("withdrawal")
-        report.times_s["last work after acceptance"] = runs.last_work_s(
+        report = failure_run.end("withdrawal")
+        report.times_s["last work after acceptance"] = failure_run.last_work_s(
             ENGINE, accepted_s
         )
         return report
--- a/benchmarks/failure_runs.py
+++ b/benchmarks/failure_runs.py
@@ -1,8 +1,8 @@
-"""Runs of one failure each, measured from outside.
+"""Measures the effects of a single failure on a cluster of real processes.
 
-Shared by the experiments ``crash``, ``partition``, ``withdrawal`` and
-``drain``: four instances in three regions, their engines and a shop under
-steady callers, all real processes.
+The experiments ``crash``, ``partition``, ``withdrawal`` and ``drain`` share
+it: four instances in three regions, their engines and a shop serve a steady
+load.  All measurements are taken from outside the processes.
 """
 
 import pathlib
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FailureReport:
-    """What one failure cost.
+    """The effects of one failure.
 
     Parameters
     ----------
     times_s : dict of str to float
         Times from the failure, in seconds.
     received : dict of str to int
-        Requests by what their callers received.
+        Numbers of requests by what their callers received.
     violations : int
-        Promises that were not kept.
+        Number of violated promises.
     """
 
     experiment: str
@@ -47,18 +47,18 @@
 
 
 class FailureRun:
-    """One cluster under load and the times of one failure.
+    """A cluster under load and the times of one failure.
 
     Parameters
     ----------
     seed : int
         Seed of the callers.
     options
-        Of ``World.start``.
+        Options of ``World.start``.
     """
 
     def __init__(self, *, seed, **options):
-        """Start the cluster and its callers."""
+        """Start the cluster and its callers, and wait for answers."""
         self._seed = seed
         self._began_s = 0.0
         self.times_s = {}
@@ -68,16 +68,16 @@
         self.world.await_served(STEADY)
 
     def begin(self):
-        """Count times from now on."""
+        """Set the present as the origin of the following times."""
         self._began_s = time.time()
 
-    def note(self, name, condition):
-        """Wait for a condition and note when it came true."""
+    def record_time(self, name, condition):
+        """Wait for a condition and record when it became true."""
         wait_until(condition, what=name, limit_s=LIMIT_S)
         self.times_s[name] = round(time.time() - self._began_s, 3)
 
     def end(self, name):
-        """Let the callers go on a little; return the report."""
+        """Serve some more requests, stop the callers and return the report."""
         self.world.await_served(STEADY)
         broken = self.world.judge()
         sent = self.world.load.sent
@@ -99,28 +99,28 @@
         )
 
     def home(self):
-        """Return the home of the engine that is watched."""
+        """Return the home of the observed engine, or None."""
         body = self.world.any_instance().operator("/operator/upstreams")
         for one in body["upstreams"]:
             if one["upstream"]["upstream_id"] == ENGINE and one["home"]:
                 return one["home"]["instance"]
         return None
 
-    def believed(self, name):
-        """Return what the others believe of an instance."""
-        found = set()
+    def reported_statuses(self, name):
+        """Return the statuses that the other instances report of one."""
+        statuses = set()
         for other in self.world.names():
             status = self.world.status(other)
             if other != name and status:
-                found |= {
+                statuses |= {
                     member["status"]
                     for member in status["members"]
                     if member["instance"] == name
                 }
-        return found
+        return statuses
 
     def last_work_s(self, engine, since_s):
-        """Return how long after a time an engine got its last work."""
+        """Return the time from ``since_s`` until an engine's last work."""
         events = self.world.cluster.stand_in(engine).client.events()
         last_s = max(
             (event.wall_s for event in events if event.kind in WORK),
--- a/benchmarks/fake.py
+++ b/benchmarks/fake.py
@@ -1,8 +1,8 @@
-"""A small fake of engines and links under a manual clock.
+"""Simulates engines and links under a manual clock.
 
-It follows the rules of ``currantdeal.testing.engine_model`` and knows nothing
-of networks, processes or membership.  Everything happens in one event loop,
-so the same seed gives the same result.
+The simulation follows the rules of ``currantdeal.testing.engine_model`` and
+has no networks, processes or membership.  All events run in one loop, so the
+same seed gives the same result.
 """
 
 import heapq
@@ -13,17 +13,17 @@
 from currantdeal.testing.engine_model import PieceMemory, PrefixCache
 
 
-class Loop:
-    """Events in order of time; time passes only by running them."""
+class EventLoop:
+    """Runs events in order of time; time advances only from event to event."""
 
     def __init__(self):
-        """Start at time 0 with nothing to do."""
+        """Start at time 0 without events."""
         self.now_s = 0.0
         self._events = []
         self._order = count()
 
     def after(self, delay_s, action, *args):
-        """Run an action some seconds from now."""
+        """Schedule an action some seconds from now."""
         due_s = self.now_s + max(0.0, delay_s)
         heapq.heappush(self._events, (due_s, next(self._order), action, args))
 
@@ -39,7 +39,7 @@
     """One request as its caller and the engines see it."""
 
     def __init__(self, *, work, output_tokens):
-        """Keep the work and the length of its answer, unknown to routers."""
+        """Store the work and the length of its answer, hidden from routers."""
         self.work = work
         self.output_tokens = output_tokens
         self.tokens = 0
@@ -47,7 +47,7 @@
         self.last_s = None
         self.done = False
         self.refused = False
-        self.gone = False
+        self.cancelled = False
         self.attempt = 0
         self.computed_tokens = 0
         self.useful_tokens = 0
@@ -57,13 +57,13 @@
 class Stream:
     """A request in the memory of a decode engine."""
 
-    def __init__(self, *, request, pieces, grow, ended):
-        """Keep what the engine calls back."""
+    def __init__(self, *, request, pieces, grow, on_end):
+        """Store the request and the callbacks of the router."""
         self.request = request
         self.key = (request.work.request_id, request.attempt)
         self.pieces = pieces
         self.grow = grow
-        self.ended = ended
+        self.on_end = on_end
         self.started_tokens = 0
 
 
@@ -72,14 +72,14 @@
 
     Parameters
     ----------
-    loop : Loop
-        Where its events run.
+    loop : EventLoop
+        Loop that runs its events.
     upstream : Upstream
-        What it announces.
+        Its announcement.
     model : EngineModel
-        How fast and large it is.
+        Its speed and memory.
     preempts : bool
-        True when a stream that finds no memory is thrown out; else it waits.
+        True to end a stream for which no memory is left; else it waits.
     """
 
     def __init__(self, *, loop, upstream, model, preempts=False):
@@ -99,7 +99,7 @@
         self._fetches = deque()
 
     def report(self):
-        """Return the load as it is now."""
+        """Return a report of the current load."""
         return LoadReport(
             upstream_id=self.upstream.upstream_id,
             incarnation=1,
@@ -115,18 +115,19 @@
             cached_prefixes=self.cache.keys,
         )
 
-    def prefill(self, request, ended):
-        """Queue a prefill; ``ended(expires_s)`` is called when it is done."""
-        self._prefills.append((request, ended))
+    def prefill(self, request, on_end):
+        """Queue a prefill; ``on_end(expires_s)`` is called when it is done."""
+        self._prefills.append((request, on_end))
         if not self._prefilling:
             self._next_prefill()
 
-    def fetch(self, source, stream, expires_s, ended):
-        """Import a KV cache; ``ended(True)`` when it is in memory.
+    def fetch(self, source, stream, expires_s, on_end):
+        """Import a KV cache; ``on_end(True)`` is called once it is in memory.
 
-        Without memory the import waits, and fails once the result expires.
+        Without free memory the import waits.  It fails with ``on_end(False)``
+        when the prefill result expires.
         """
-        self._fetches.append((source, stream, expires_s, ended))
+        self._fetches.append((source, stream, expires_s, on_end))
         self._loop.after(
             expires_s - self._loop.now_s + 1e-6, self._serve_fetches
         )
@@ -140,58 +141,58 @@
             self._begin_step()
 
     def cancel(self, stream_key):
-        """Free what is held for a request."""
+        """Free the memory of a request."""
         self._streams.pop(stream_key, None)
         self.memory.release(stream_key)
         self._serve_fetches()
 
     def evict(self, request_id):
-        """Cancel a stream and tell its router that it failed."""
+        """Cancel a stream and report its failure to the router."""
         for stream in list(self._streams.values()):
             if stream.request.work.request_id == request_id:
                 self.cancel(stream.key)
-                self._loop.after(0.0, stream.ended, False)
+                self._loop.after(0.0, stream.on_end, False)
 
     def _next_prefill(self):
-        while self._prefills and self._prefills[0][0].gone:
+        while self._prefills and self._prefills[0][0].cancelled:
             self._prefills.popleft()
         if not self._prefills:
             self._prefilling = False
             return
         self._prefilling = True
-        request, ended = self._prefills.popleft()
+        request, on_end = self._prefills.popleft()
         tokens = request.work.prompt_tokens
         cached = min(tokens, self.cache.match(request.work.prefix_keys))
         request.computed_tokens += tokens - cached
         took_s = self.model.prefill_s(tokens=tokens, cached_tokens=cached)
-        self._loop.after(took_s, self._end_prefill, request, ended)
+        self._loop.after(took_s, self._end_prefill, request, on_end)
 
-    def _end_prefill(self, request, ended):
+    def _end_prefill(self, request, on_end):
         self.cache.add(request.work.prefix_keys)
-        ended(self._loop.now_s + self.model.kv_expiry_s)
+        on_end(self._loop.now_s + self.model.kv_expiry_s)
         self._next_prefill()
 
     def _serve_fetches(self):
         now_s = self._loop.now_s
         waiting = deque()
         for fetch in self._fetches:
-            source, stream, expires_s, ended = fetch
-            if expires_s <= now_s or stream.request.gone:
-                self._loop.after(0.0, ended, False)
+            source, stream, expires_s, on_end = fetch
+            if expires_s <= now_s or stream.request.cancelled:
+                self._loop.after(0.0, on_end, False)
             elif self.memory.take(stream.key, stream.pieces):
-                self._transfer(source, stream, ended)
+                self._transfer(source, stream, on_end)
             else:
                 waiting.append(fetch)
         self._fetches = waiting
 
-    def _transfer(self, source, stream, ended):
+    def _transfer(self, source, stream, on_end):
         now_s = self._loop.now_s
         start_s = max(now_s, source.link_free_s, self.link_free_s)
-        moving_s = self.model.transfer_s(
+        transfer_s = self.model.transfer_s(
             tokens=stream.request.work.prompt_tokens
         )
-        source.link_free_s = self.link_free_s = start_s + moving_s
-        self._loop.after(start_s + moving_s - now_s, ended, True)
+        source.link_free_s = self.link_free_s = start_s + transfer_s
+        self._loop.after(start_s + transfer_s - now_s, on_end, True)
 
     def _begin_step(self):
         self._stepping = bool(self._streams)
@@ -208,14 +209,14 @@
         request = stream.request
         if stream.key not in self._streams:
             return
-        if request.gone:
+        if request.cancelled:
             self.cancel(stream.key)
-            stream.ended(False)
+            stream.on_end(False)
             return
-        if not self._has_room(stream):
+        if not self._has_memory(stream):
             if self._preempts:
                 self.cancel(stream.key)
-                stream.ended(False)
+                stream.on_end(False)
             return
         request.tokens += 1
         request.last_s = self._loop.now_s
@@ -223,9 +224,9 @@
             request.first_s = self._loop.now_s
         if request.tokens >= request.output_tokens:
             self.cancel(stream.key)
-            stream.ended(True)
+            stream.on_end(True)
 
-    def _has_room(self, stream):
+    def _has_memory(self, stream):
         request = stream.request
         needed = self.model.pieces(
             request.work.prompt_tokens + request.tokens + 1
--- a/benchmarks/main.py
+++ b/benchmarks/main.py
@@ -1,9 +1,9 @@
-"""The ``bin/bench`` command.
+"""Implements the ``bin/bench`` command, which runs experiments.
 
 An experiment is a module of ``benchmarks.experiments`` with a ``SUMMARY`` of
-one line and a function ``run(*, seed)``.  What it returns is encoded as JSON
-under ``--json``, and else shown by its ``render`` method.  A new experiment
-is a new module; nothing else names it.
+one line and a function ``run(*, seed)``.  Its result is printed as JSON with
+``--json``, and by its ``render`` method otherwise.  A new module in that
+package is all that a new experiment needs.
 """
 
 import importlib
@@ -15,7 +15,7 @@
 from benchmarks import experiments
 
 
-def names():
+def experiment_names():
     """Return the names of all experiments, sorted."""
     found = pkgutil.iter_modules(experiments.__path__)
     return sorted(
@@ -25,7 +25,7 @@
     )
 
 
-def load(name):
+def load_experiment(name):
     """Return the module of an experiment."""
     module = name.replace("-", "_")
     return importlib.import_module(f"benchmarks.experiments.{module}")
@@ -33,18 +33,18 @@
 
 @click.command(context_settings={"help_option_names": ["-h", "--help"]})
 @click.argument("name", required=False)
-@click.option("--seed", default=1, show_default=True, help="Of all chance.")
+@click.option("--seed", default=1, show_default=True, help="Random seed.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.option("--list", "as_list", is_flag=True, help="List experiments.")
 def main(name, seed, as_json, as_list):
-    """Run the experiment NAME and print what it measured."""
+    """Run the experiment NAME and print its results."""
     if as_list:
-        for known in names():
-            click.echo(f"{known:20} {load(known).SUMMARY}")
+        for known in experiment_names():
+            click.echo(f"{known:20} {load_experiment(known).SUMMARY}")
         return
-    if name not in names():
+    if name not in experiment_names():
         raise click.UsageError("name an experiment, see bin/bench --list")
-    report = load(name).run(seed=seed)
+    report = load_experiment(name).run(seed=seed)
     if as_json:
         click.echo(msgspec.json.encode(report).decode())
     else:
--- a/benchmarks/measures.py
+++ b/benchmarks/measures.py
@@ -1,4 +1,4 @@
-"""What the callers of one run received."""
+"""Computes latencies, goodput and waste from the requests of a run."""
 
 from dataclasses import dataclass, field, replace
 
@@ -16,17 +16,18 @@
     goodput : float
         Share of offered requests answered within both targets.
     wasted_prefill : float
-        Share of prefilled tokens that were thrown away.
+        Share of prefilled tokens whose result was discarded.
     ttft_p95_s, itl_p95_ms : float
-        Of the requests answered in full; mean time between outputs of each.
+        95th percentiles over the requests answered in full: time to first
+        output, and each request's mean time between outputs.
     refused, late : float
-        Shares of offered requests refused, and answered or given up outside
-        the targets.
+        Shares of offered requests that were refused, and that were answered
+        or abandoned outside the targets.
     violations : int
-        Promises broken: memory held at the end, requests without an end, and
-        refusals that say "not run" of work that ran.
+        Violated promises: memory held at the end, requests that never ended,
+        and "not run" refusals of work that ran.
     details : dict
-        Figures of one experiment, by name.
+        Figures of a single experiment, by name.
     """
 
     offered_per_s: float
@@ -72,7 +73,7 @@
 
 
 def is_good(request, deployment):
-    """Return whether an answer came within both targets."""
+    """Return True if a request was answered within both targets."""
     return (
         request.done
         and _ttft_s(request) <= deployment.ttft_target_s
@@ -92,12 +93,12 @@
 
 
 def goodput_of(scenario, requests, wanted):
-    """Return the goodput among the measured requests that are wanted.
+    """Return the goodput among the measured requests that match a filter.
 
     Parameters
     ----------
     wanted : callable
-        From a request's work to whether it counts.
+        Returns True for the work of a request that counts.
     """
     deployment = scenario.deployment
     counted = [
@@ -111,7 +112,7 @@
 
 def _violations(requests, engines):
     open_ended = sum(
-        1 for req in requests if not (req.done or req.refused or req.gone)
+        1 for req in requests if not (req.done or req.refused or req.cancelled)
     )
     held = sum(1 for eng in engines.values() if eng.memory.held)
     return open_ended + held
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -1,8 +1,8 @@
-"""What an instance adds to calling the engines directly.
+"""Measures the latency that an instance adds to calling engines directly.
 
-One request after the other goes to two stand-in engines, directly and
-through one of three instances.  Measured are the time to the first output
-and the mean time between outputs.
+Requests go one after the other to two stand-in engines, directly and through
+one of three instances.  The time to the first output and the mean time
+between outputs are measured.
 
 Run ``python -m benchmarks.path_cost --help`` for its options.
 """
@@ -22,7 +22,7 @@
 
 TOKENS = 40
 PROMPT = "cake tokens=40"
-ALL = b"""{"selector": {"name": "all"}, "expected_version": 0,
+SELECT_ALL = b"""{"selector": {"name": "all"}, "expected_version": 0,
            "request_id": "all", "wait_s": 20}"""
 
 
@@ -37,8 +37,8 @@
     gap_p95_ms: float
 
 
-def ask_engines(cluster, number):
-    """Return the times at which outputs came from the engines directly."""
+def stream_from_engines(cluster, number):
+    """Return the arrival times of outputs of direct calls to the engines."""
     prefill = cluster.stand_in("p1").client
     decode = cluster.stand_in("d1").client
     name = f"direct-{number}"
@@ -66,8 +66,8 @@
     return times
 
 
-def ask_instance(cluster, number):
-    """Return the times at which outputs came through an instance."""
+def stream_from_instance(cluster, number):
+    """Return the arrival times of outputs of a call through an instance."""
     addresses = cluster.caller_addresses
     caller = CallerClient(address=addresses[number % len(addresses)])
     started_s = time.monotonic()
@@ -80,11 +80,17 @@
     return times
 
 
-def measure(ask, cluster, requests):
-    """Return the ``PathTimes`` of one way to ask."""
+def measure(stream, cluster, requests):
+    """Return the ``PathTimes`` of one path.
+
+    Parameters
+    ----------
+    stream : callable
+        Sends a numbered request and returns the arrival times of its outputs.
+    """
     firsts, gaps = [], []
     for number in range(requests):
-        times = ask(cluster, number)
+        times = stream(cluster, number)
         firsts.append(times[0] * 1000)
         gaps.append((times[-1] - times[0]) / (len(times) - 1) * 1000)
     return PathTimes(
@@ -107,21 +113,21 @@
     ):
         cluster.add_engine("p1", roles=("prefill",))
         cluster.add_engine("d1", roles=("decode",))
-        # Before any instance runs: a home would cancel at the engines what
-        # no entry claims, and these requests are nobody's.
-        measure(ask_engines, cluster, 5)
-        direct = measure(ask_engines, cluster, requests)
+        # Direct calls run before any instance starts: a home cancels
+        # requests at its engines that no entry claims, as these are.
+        measure(stream_from_engines, cluster, 5)
+        direct = measure(stream_from_engines, cluster, requests)
         cluster.start()
         cluster.wait_ready()
         cluster.wait_upstreams()
         operator = CallerClient(
             address=cluster.caller_addresses[0], key=OPERATOR_KEY
         )
-        operator.call("PUT", "/operator/selectors/all", body=ALL)
-        measure(ask_instance, cluster, 5)
-        through = measure(ask_instance, cluster, requests)
-    found = {"direct": direct, "through": through}
-    shown = {name: asdict(times) for name, times in found.items()}
+        operator.call("PUT", "/operator/selectors/all", body=SELECT_ALL)
+        measure(stream_from_instance, cluster, 5)
+        through = measure(stream_from_instance, cluster, requests)
+    by_path = {"direct": direct, "through": through}
+    shown = {name: asdict(times) for name, times in by_path.items()}
     click.echo(json.dumps(shown, indent=1))
 
 
--- a/benchmarks/placement_bound.py
+++ b/benchmarks/placement_bound.py
@@ -1,10 +1,10 @@
-"""The most streams that a pool of engines could serve, whoever places them.
+"""Computes an upper bound on the streams that a pool of engines can serve.
 
-An upper bound from a fluid model with perfect knowledge: memory is packed
-without a gap, prompts never wait for each other, no message takes time, and
-the pool is split between prefill and decode as is best for the load.  What
-the router serves less than this is lost to placement, waiting and trouble
-that the model leaves out.
+The bound holds for every placement.  It comes from a fluid model with perfect
+information: memory is packed without gaps, prompts never queue behind each
+other, messages take no time, and the split between prefill and decode engines
+is optimal for the load.  The difference between the router's throughput and
+this bound is lost to placement, queueing and failures outside the model.
 
 Examples
 --------
@@ -29,18 +29,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineTraits:
-    """Speed and memory of one engine, as its operator's sheet gives them.
+    """Speed and memory of one engine, as specified by its operator.
 
     Parameters
     ----------
     kv_tokens : int
-        Memory.
+        Tokens that fit into its memory.
     step_ms : float
-        Time for a token of every running stream.
+        Time of a step, which generates one token for every running stream.
     context_ms_per_k : float
-        What a thousand tokens in memory add to a step.
+        Time that each thousand tokens in memory add to a step.
     prefill_tokens_per_ms : float
-        Speed of reading prompts.
+        Prefill speed.
     """
 
     kv_tokens: int
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Load:
-    """Streams asked for: a steady rate, and bursts of some factor."""
+    """Offered load: a steady rate and a burst, as a factor of that rate."""
 
     per_s: float
     length_s: float
@@ -72,17 +72,17 @@
     held_tokens = work.prompt_tokens + work.output_tokens / 2
     step_ms = engine.step_ms
     step_ms += engine.context_ms_per_k * engine.kv_tokens / 1_000
-    life_s = work.output_tokens * step_ms / MS_PER_S
-    return engine.kv_tokens / held_tokens / life_s
+    duration_s = work.output_tokens * step_ms / MS_PER_S
+    return engine.kv_tokens / held_tokens / duration_s
 
 
 def prefill_rate(engine, work):
-    """Return the prompts a second that a busy prefill engine reads."""
+    """Return the prompts a second that a busy prefill engine processes."""
     return engine.prefill_tokens_per_ms * MS_PER_S / work.prompt_tokens
 
 
 def best_split(engines, engine, work):
-    """Return the number of prefill engines and the streams a second."""
+    """Return the best number of prefill engines and its streams a second."""
     rates = {
         number: min(
             number * prefill_rate(engine, work),
@@ -97,13 +97,14 @@
 def served_bound(load, per_s):
     """Return the largest share of the streams that a pool can serve in time.
 
-    What comes in a burst above the pool's rate can't wait for its end.
+    Streams of a burst that exceed the pool's rate are lost, since they can't
+    wait until the burst is over.
     """
-    calm_s = load.length_s - load.burst_s
-    asked = load.per_s * (calm_s + load.burst * load.burst_s)
-    served = min(load.per_s, per_s) * calm_s
+    steady_s = load.length_s - load.burst_s
+    offered = load.per_s * (steady_s + load.burst * load.burst_s)
+    served = min(load.per_s, per_s) * steady_s
     served += min(load.per_s * load.burst, per_s) * load.burst_s
-    return served / asked
+    return served / offered
 
 
 @click.command()
@@ -111,11 +112,13 @@
 @click.option("--kv-tokens", type=int, required=True)
 @click.option("--step-ms", type=float, required=True)
 @click.option("--output-tokens", type=int, required=True)
-@click.option("--per-s", type=float, required=True, help="streams, calm")
+@click.option(
+    "--per-s", type=float, required=True, help="streams outside the burst"
+)
 @click.option("--burst", default=1.8, show_default=True)
 @click.option("--burst-s", default=13.0, show_default=True)
 @click.option("--length-s", default=34.0, show_default=True)
-@click.option("--lost", default=0, show_default=True, help="engines away")
+@click.option("--lost", default=0, show_default=True, help="engines lost")
 def main(
     engines,
     kv_tokens,
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -1,7 +1,7 @@
-"""Draws goodput and wasted prefill over the offered load.
+"""Plots goodput and wasted prefill over the offered load.
 
-Run by ``bin/plot-load FOLDER``; one picture for each deployment, the mean of
-three seeds.
+Run by ``bin/plot-load FOLDER``.  Each deployment gets one picture, which shows
+means over three seeds.
 """
 
 import os
@@ -38,7 +38,7 @@
 
 
 def draw(deployment, workers, picture):
-    """Measure one deployment and save its picture."""
+    """Measure one deployment and save its plot."""
     figure, (left, right) = plt.subplots(1, 2, figsize=(10, 4))
     for name, router in ROUTERS.items():
         goodput, wasted = _curves(deployment, router, workers)
@@ -59,10 +59,10 @@
 
 def _curves(deployment, router, workers):
     jobs = [(deployment, router, load, s) for load in LOADS for s in SEEDS]
-    found = list(workers.map(_measure, jobs))
+    measures = list(workers.map(_measure, jobs))
     goodput, wasted = [], []
     for index in range(len(LOADS)):
-        of_load = found[index * len(SEEDS) : (index + 1) * len(SEEDS)]
+        of_load = measures[index * len(SEEDS) : (index + 1) * len(SEEDS)]
         goodput.append(sum(m.good_per_s for m in of_load) / len(SEEDS))
         wasted.append(sum(m.wasted_prefill for m in of_load) / len(SEEDS))
     return goodput, wasted
--- a/benchmarks/real_load.py
+++ b/benchmarks/real_load.py
@@ -1,4 +1,7 @@
-"""An open stream of requests against a real cluster of stand-ins."""
+"""Offers an open-loop load to a real cluster with stand-in engines.
+
+Requests arrive at a rate that does not depend on the answers.
+"""
 
 import random
 import threading
@@ -24,11 +27,12 @@
     Parameters
     ----------
     offered_per_s, good_per_s : float
-        Requests offered, and answered within both targets, each second.
+        Requests a second that were offered, and answered within both targets.
     refused : float
-        Share refused as not run, with a time to come back.
+        Share refused as "not run", with a time after which to retry.
     broken : float
-        Share with any other end: another refusal, a cut or wrong answer.
+        Share with any other outcome: another refusal, or a truncated or wrong
+        answer.
     """
 
     load: float
@@ -42,8 +46,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Seen:
-    """One request as its caller saw it."""
+class CallerResult:
+    """The outcome of one request for its caller."""
 
     whole: bool
     refused: bool
@@ -52,20 +56,20 @@
 
     @property
     def good(self):
-        """True when it was answered within both targets."""
+        """True if the request was answered within both targets."""
         in_time = self.ttft_s <= TTFT_TARGET_S
         return self.whole and in_time and self.gap_s <= ITL_TARGET_S
 
 
-def offer(addresses, *, load, per_s, seconds, rng):
-    """Send requests at a rate and return the ``RealMeasures``.
+def offer_load(addresses, *, load, per_s, seconds, rng):
+    """Send requests at a mean rate and return the ``RealMeasures``.
 
     Parameters
     ----------
     per_s : float
-        Requests a second that a load of 1 stands for.
+        Requests a second at a load of 1.
     """
-    seen = []
+    results = []
     threads = []
     end_s = time.monotonic() + seconds
     next_s = time.monotonic()
@@ -74,7 +78,9 @@
         client = CallerClient(address=rng.choice(addresses))
         prompt = _prompt(rng)
         thread = threading.Thread(
-            target=lambda c=client, p=prompt: seen.append(_ask(c, p)),
+            target=lambda c=client, p=prompt: results.append(
+                _send_request(c, p)
+            ),
             daemon=True,
         )
         thread.start()
@@ -82,10 +88,10 @@
         next_s += rng.expovariate(load * per_s)
     for thread in threads:
         thread.join(JOIN_S)
-    return _measures(load, seconds, len(threads), seen)
+    return _measures(load, seconds, len(threads), results)
 
 
-def _ask(client, prompt):
+def _send_request(client, prompt):
     began_s = time.monotonic()
     try:
         stream = client.open_stream(
@@ -97,10 +103,10 @@
         first_s = time.monotonic()
         answer = stream.read()
     except (HarnessError, urllib3.exceptions.HTTPError) as exc:
-        return Seen(whole=False, refused="not-run" in str(exc))
+        return CallerResult(whole=False, refused="not-run" in str(exc))
     tokens = len(answer.text.split())
     gap_s = (time.monotonic() - first_s) / max(1, tokens - 1)
-    return Seen(
+    return CallerResult(
         whole=answer.done and tokens == OUTPUT_TOKENS,
         refused=False,
         ttft_s=first_s - began_s,
@@ -113,17 +119,17 @@
     return head + "x" * (PROMPT_BYTES - len(head))
 
 
-def _measures(load, seconds, offered, seen):
-    whole = [one for one in seen if one.whole]
-    good = sum(one.good for one in whole)
-    refused = sum(one.refused for one in seen)
+def _measures(load, seconds, offered, results):
+    whole = [result for result in results if result.whole]
+    good = sum(result.good for result in whole)
+    refused = sum(result.refused for result in results)
     return RealMeasures(
         load=load,
         offered_per_s=offered / seconds,
         good_per_s=good / seconds,
         goodput=good / offered,
-        ttft_p95_s=_p95([one.ttft_s for one in whole]),
-        itl_p95_ms=1e3 * _p95([one.gap_s for one in whole]),
+        ttft_p95_s=_p95([result.ttft_s for result in whole]),
+        itl_p95_ms=1e3 * _p95([result.gap_s for result in whole]),
         refused=refused / offered,
         broken=(offered - len(whole) - refused) / offered,
     )
@@ -134,6 +140,6 @@
     return ordered[min(len(ordered) - 1, int(0.95 * len(ordered)))]
 
 
-def seeded(seed, load):
-    """Return the chance of one load, the same for the same seed."""
+def seeded_rng(seed, load):
+    """Return the random generator of one load, determined by the seed."""
     return random.Random(f"{seed} {load}")
--- a/benchmarks/runner.py
+++ b/benchmarks/runner.py
@@ -1,13 +1,14 @@
-"""Runs one scenario under one router."""
+"""Runs one scenario with one router over the fake engines."""
 
 from dataclasses import replace
 from random import Random
 
-from benchmarks.fake import FakeEngine, Loop
+from benchmarks.fake import EventLoop, FakeEngine
 from benchmarks.measures import measure
 from benchmarks.scenario import DRAIN_S, arrivals
 
-PATIENCE = 2.0
+GIVE_UP_FACTOR = 2.0
+"""Callers give up after this multiple of the target to the first output."""
 
 
 def run(scenario, make_router, *, seed):
@@ -20,7 +21,7 @@
 
     Arrivals depend on the seed alone, not on the router.
     """
-    loop = Loop()
+    loop = EventLoop()
     requests = arrivals(scenario, Random(f"arrivals {seed}"))
     engines = _engines(scenario, loop, make_router)
     router = make_router(
@@ -29,11 +30,11 @@
         engines=engines,
         rng=Random(f"router {seed}"),
     )
-    patience_s = PATIENCE * scenario.deployment.ttft_target_s
+    give_up_after_s = GIVE_UP_FACTOR * scenario.deployment.ttft_target_s
     for request in requests:
-        loop.after(request.work.arrived_s, router.arrive, request)
-        give_up_s = request.work.arrived_s + patience_s
-        loop.after(give_up_s, _lose_patience, request, router)
+        loop.after(request.work.arrived_s, router.receive, request)
+        give_up_s = request.work.arrived_s + give_up_after_s
+        loop.after(give_up_s, _give_up, request, router)
     loop.run(scenario.end_s + DRAIN_S)
     return requests, engines
 
@@ -61,7 +62,7 @@
     engine.model = replace(engine.model, slowdown=factor)
 
 
-def _lose_patience(request, router):
+def _give_up(request, router):
     if request.first_s is None and not request.done and not request.refused:
-        request.gone = True
-        router.hang_up(request)
+        request.cancelled = True
+        router.cancel(request)
--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -1,4 +1,4 @@
-"""What happens in one run: who sends how much, and which engine is slow."""
+"""Describes a run: offered load, callers and engines that become slow."""
 
 from dataclasses import dataclass, replace
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Phase:
-    """A stretch of time with one offered load.
+    """A period with a constant offered load, up to the next phase.
 
     Parameters
     ----------
@@ -31,16 +31,16 @@
     Parameters
     ----------
     phases : tuple of Phase
-        In order of time; the first starts at 0.
+        Phases in order of time; the first starts at 0.
     callers : tuple of CallerProfile
-        Shares add up to 1; empty for the deployment's own callers.
+        Callers whose shares add up to 1; empty for the deployment's own.
     capacity_per_s : float
-        What a load of 1 stands for; 0 for what the engines can carry of
+        Requests a second at a load of 1; 0 for the engines' capacity for
         these callers' requests.
     slow_engine : str
-        Upstream that gets slow; empty for none.
+        Upstream that becomes slow; empty for none.
     slow_factor, slow_from_s, slow_until_s : float
-        How slow and when.
+        Factor on its times, and the period in which it applies.
     """
 
     deployment: Deployment
@@ -59,13 +59,13 @@
         return WARM_UP_S + self.measured_s
 
     def load_at(self, now_s):
-        """Return the offered load at some time."""
+        """Return the offered load at a time."""
         current = [ph.load for ph in self.phases if ph.from_s <= now_s]
         return current[-1]
 
 
 def steady(deployment, load, **changes):
-    """Return a scenario of one constant load."""
+    """Return a scenario with one constant load."""
     phases = (Phase(from_s=0.0, load=load),)
     return Scenario(deployment=deployment, phases=phases, **changes)
 
@@ -73,27 +73,27 @@
 def arrivals(scenario, rng):
     """Return the requests of a run in order of arrival.
 
-    Arrivals are a Poisson process at the rate of the phase.
+    Arrivals are a Poisson process with the rate of the current phase.
     """
     deployment = scenario.deployment
     callers = scenario.callers or deployment.callers
     shares = [caller.share for caller in callers]
     capacity = scenario.capacity_per_s or deployment.capacity_per_s(callers)
-    found = []
+    requests = []
     now_s = 0.0
     while True:
         now_s += rng.expovariate(capacity * scenario.load_at(now_s))
         if now_s >= scenario.end_s:
-            return found
+            return requests
         profile = rng.choices(callers, shares)[0]
         work, output = draw_work(
             rng,
             profile,
-            request_id=f"r{len(found)}",
+            request_id=f"r{len(requests)}",
             now_s=now_s,
             deployment=deployment,
         )
-        found.append(Request(work=work, output_tokens=output))
+        requests.append(Request(work=work, output_tokens=output))
 
 
 def with_shares(callers, shares):
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,8 +1,11 @@
-"""Random faults of all kinds for a while, and every promise checked.
-
-Eight instances in three regions serve both users' load.  Faults overlap; in
-between, everything is healed and the callers stop, so that what stays held
-is seen.  Only callers' records and the stand-ins' journals are judged.
+"""Injects random faults into real processes and verifies every promise.
+
+The ``instances`` command runs eight instances in three regions under both
+users' load.  Faults overlap within a round.  After each round all faults are
+undone and the callers stop, so that memory which is still reserved can be
+detected.  The verdict uses only what callers received and the journals of the
+stand-in upstreams.  The ``nodes`` command runs ``benchmarks.soak_nodes`` for
+one seed after the other.
 """
 
 import functools
@@ -19,8 +22,8 @@
 
 import click
 
-from benchmarks.soak_faults import FaultMaker
-from benchmarks.soak_plays import SOAKS, play_seed
+from benchmarks.soak_faults import FaultInjector
+from benchmarks.soak_runs import SOAKS, run_seed
 from currantdeal.adapters.settings import TimingSettings
 from currantdeal.testing.errors import HarnessError
 from currantdeal.testing.traffic import Received
@@ -37,11 +40,11 @@
 
 INSTANCES = 8
 ROUND_S = 25.0
-MOST_AT_ONCE = 3
-PAUSE_S = (0.2, 2.5)
-HEAL_LIMIT_S = 90.0
-HELD_LIMIT_S = 5.0
-WATCH_S = 0.5
+MAX_ACTIVE_FAULTS = 3
+FAULT_GAP_S = (0.2, 2.5)
+RECOVERY_LIMIT_S = 90.0
+RELEASE_LIMIT_S = 5.0
+POLL_S = 0.5
 
 PROMISES = (
     "no memory stays held",
@@ -56,11 +59,11 @@
 )
 
 
-class Record:
-    """What is judged in the end, beside what callers received."""
+class SoakRecord:
+    """What is verified at the end, besides what callers received."""
 
     def __init__(self):
-        """Start empty."""
+        """Create an empty record."""
         self.withdrawals = []
         self.exits = []
         self.journals = {}
@@ -68,160 +71,165 @@
         self.checked = Counter()
         self.faults = Counter()
 
-    def withdrawn(self, engine, began_s, ended_s):
-        """Note a withdrawal that was in force for a time."""
+    def record_withdrawal(self, engine, began_s, ended_s):
+        """Record the period in which a withdrawal was in force."""
         self.withdrawals.append((engine, began_s, ended_s))
 
-    def exited(self, name, began_s, status):
-        """Note how a planned stop ended."""
+    def record_exit(self, name, began_s, status):
+        """Record the exit status of a planned stop."""
         self.exits.append((name, status))
         self.check("a planned stop is graceful")
         if status != 0:
-            self.violate("a planned stop is graceful", f"{name}: {status}")
+            self.record_violation(
+                "a planned stop is graceful", f"{name}: {status}"
+            )
 
-    def keep_journal(self, engine, client):
-        """Keep the journal of an engine that is about to be killed."""
+    def save_journal(self, engine, client):
+        """Save the journal of an engine that is about to be killed."""
         self.journals.setdefault(engine, []).extend(client.events())
 
     def check(self, promise, count=1):
-        """Count a check."""
+        """Count checks of a promise."""
         self.checked[promise] += count
 
-    def violate(self, promise, detail):
-        """Note a violation."""
+    def record_violation(self, promise, detail):
+        """Record a violation."""
         self.violations.append(Violation(promise=promise, detail=detail))
 
 
-class VersionWatch:
-    """Asks every instance for its version, which must never go back.
+class VersionMonitor:
+    """Polls every instance's state version, which must never decrease.
 
-    A process that has just started and holds no lease does not count: it
-    shows nothing to callers yet.
+    An instance without a lease is skipped, such as one that has just
+    started: it does not serve its state to callers yet.
     """
 
     def __init__(self, *, world, record):
-        """Ask nothing yet."""
+        """Prepare the polling thread without starting it."""
         self._world = world
         self._record = record
-        self._seen = {}
+        self._versions = {}
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self):
-        """Begin to ask."""
+        """Start polling."""
         self._thread.start()
 
     def stop(self):
-        """Ask no more."""
+        """Stop polling and wait for the thread to end."""
         self._stopped.set()
         self._thread.join()
 
     def _run(self):
-        while not self._stopped.wait(WATCH_S):
+        while not self._stopped.wait(POLL_S):
             for name in self._world.cluster.instances:
-                self._look(name)
+                self._check_version(name)
 
-    def _look(self, name):
+    def _check_version(self, name):
         status = self._world.status(name)
         if status is None or status["lease_remaining_s"] <= 0:
             return
         self._record.check("a change never reverts")
-        if status["version"] < self._seen.get(name, 0):
-            self._record.violate(
+        if status["version"] < self._versions.get(name, 0):
+            self._record.record_violation(
                 "a change never reverts",
-                f"{name}: {self._seen[name]}, then {status['version']}",
+                f"{name}: {self._versions[name]}, then {status['version']}",
             )
-        self._seen[name] = status["version"]
+        self._versions[name] = status["version"]
 
 
-def run(*, minutes, seed, say):
-    """Return the record of a soak and all that callers sent."""
-    chance = random.Random(seed)
-    record = Record()
+def run(*, minutes, seed, report_progress):
+    """Run a soak; return its record and all requests that callers sent."""
+    rng = random.Random(seed)
+    record = SoakRecord()
     sent = []
     world = World(folder=pathlib.Path(tempfile.mkdtemp()))
     try:
         timing = TimingSettings(entries_keep_s=1.0)
         world.start(INSTANCES, proxied=True, timing=timing)
-        watch = VersionWatch(world=world, record=record)
-        watch.start()
+        monitor = VersionMonitor(world=world, record=record)
+        monitor.start()
         end_s = time.monotonic() + minutes * 60
         number = 0
         while time.monotonic() < end_s:
             number += 1
-            begun = _round(world, chance, record, sent, number)
-            say(f"round {number}: {', '.join(begun)}")
-        watch.stop()
-        _judge(world, record, sent)
+            injected = _run_round(world, rng, record, sent, number)
+            report_progress(f"round {number}: {', '.join(injected)}")
+        monitor.stop()
+        _verify(world, record, sent)
     finally:
         world.close()
     return record, sent
 
 
-def _round(world, chance, record, sent, number):
+def _run_round(world, rng, record, sent, number):
     world.send_load(
-        streams=8, orders=4, browsers=2, seed=chance.randrange(1_000_000)
+        streams=8, orders=4, browsers=2, seed=rng.randrange(1_000_000)
     )
-    faults = FaultMaker(world=world, chance=chance, record=record)
-    open_faults, names = [], []
+    faults = FaultInjector(world=world, rng=rng, record=record)
+    active_faults, names = [], []
     end_s = time.monotonic() + ROUND_S
     while time.monotonic() < end_s:
-        _end_due(open_faults)
-        if len(open_faults) < MOST_AT_ONCE:
-            fault = faults.begin()
+        _undo_due(active_faults)
+        if len(active_faults) < MAX_ACTIVE_FAULTS:
+            fault = faults.inject()
             if fault is not None:
-                open_faults.append(fault)
+                active_faults.append(fault)
                 names.append(fault.name)
                 record.faults[fault.name.split()[0]] += 1
-        time.sleep(chance.uniform(*PAUSE_S))
-    for fault in open_faults:
+        time.sleep(rng.uniform(*FAULT_GAP_S))
+    for fault in active_faults:
         fault.undo()
     world.cluster.heal()
-    _recover(world, record, names)
+    _check_recovery(world, record, names)
     world.load.stop()
     sent.extend(world.load.sent)
-    _check_held(world, record, names)
+    _check_memory_free(world, record, names)
     return names
 
 
-def _end_due(open_faults):
-    for fault in list(open_faults):
+def _undo_due(active_faults):
+    for fault in list(active_faults):
         if time.monotonic() >= fault.ends_s:
-            open_faults.remove(fault)
+            active_faults.remove(fault)
             fault.undo()
 
 
-def _recover(world, record, names):
+def _check_recovery(world, record, names):
     record.check("the system recovers")
     try:
-        world.cluster.wait_ready(limit_s=HEAL_LIMIT_S)
+        world.cluster.wait_ready(limit_s=RECOVERY_LIMIT_S)
         world.await_served(10)
     except HarnessError as exc:
-        record.violate("the system recovers", f"after {names}: {exc}")
+        record.record_violation("the system recovers", f"after {names}: {exc}")
 
 
-def _check_held(world, record, names):
-    # Counted from when the last caller is gone; what is still cancelled
-    # after a late answer has the five seconds of the promise.
+def _check_memory_free(world, record, names):
+    # The limit starts when the last caller has stopped.  Requests that are
+    # cancelled after a late answer have the promised five seconds to release
+    # their memory.
     record.check("no memory stays held")
     try:
         wait_until(
             lambda: not any(engine.held() for engine in world.engines()),
             what="free engine memory",
-            limit_s=HELD_LIMIT_S,
+            limit_s=RELEASE_LIMIT_S,
         )
     except HarnessError as exc:
         held = [engine.held() for engine in world.engines()]
-        record.violate("no memory stays held", f"after {names}: {exc} {held}")
+        record.record_violation(
+            "no memory stays held", f"after {names}: {exc} {held}"
+        )
 
 
-def _judge(world, record, sent):
+def _verify(world, record, sent):
     runs = world.runs()
-    orders = sum(one.kind.value == "order" for one in sent)
+    orders = sum(request.kind.value == "order" for request in sent)
     record.check("whole answer to its own caller", len(sent))
     record.check("an order runs at most once", orders)
     record.check("an answered order ran", orders)
-    refused = sum(one.received is Received.NOT_RUN for one in sent)
+    refused = sum(request.received is Received.NOT_RUN for request in sent)
     record.check('"not run" is true', refused)
     record.violations += judge_answers(sent)
     record.violations += judge_orders(sent, runs)
@@ -239,7 +247,7 @@
 
 @click.group()
 def main():
-    """Put random faults on real processes and check every promise."""
+    """Inject random faults into real processes and check every promise."""
 
 
 @main.command()
@@ -260,12 +268,12 @@
     "--replacing",
     "faults",
     flag_value="replacing",
-    help="The same as --faults replacing.",
+    help="Same as --faults replacing.",
 )
 def nodes(seed, seeds, rounds, jobs, control, entries, faults):
-    """Soak entry and control processes, for one seed after the other."""
-    play = functools.partial(
-        play_seed,
+    """Soak entry and control processes, one run for each seed."""
+    run_one = functools.partial(
+        run_seed,
         rounds=rounds,
         control=control,
         entries=entries,
@@ -274,7 +282,7 @@
     failed = []
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(jobs, mp_context=spawn) as pool:
-        for report in pool.map(play, range(seed, seed + seeds)):
+        for report in pool.map(run_one, range(seed, seed + seeds)):
             click.echo(json.dumps(report))
             if report["violations"]:
                 failed.append(report["seed"])
@@ -291,11 +299,11 @@
     record, sent = run(
         minutes=minutes,
         seed=seed,
-        say=lambda text: click.echo(text, err=True),
+        report_progress=lambda text: click.echo(text, err=True),
     )
-    violated = Counter(one.promise for one in record.violations)
+    violated = Counter(violation.promise for violation in record.violations)
     received = Counter(
-        f"{one.kind.value} {one.received.value}" for one in sent
+        f"{request.kind.value} {request.received.value}" for request in sent
     )
     report = {
         "seed": seed,
@@ -309,19 +317,21 @@
         },
     }
     click.echo(json.dumps(report, indent=2) if as_json else _table(report))
-    for one in record.violations:
-        click.echo(f"VIOLATED {one.promise}: {one.detail}", err=True)
+    for violation in record.violations:
+        click.echo(
+            f"VIOLATED {violation.promise}: {violation.detail}", err=True
+        )
     sys.exit(1 if record.violations else 0)
 
 
 def _table(report):
     lines = [f"seed {report['seed']}, {report['minutes']} minutes"]
     for title in ("faults", "received"):
-        found = sorted(report[title].items())
-        lines.append(f"{title}: " + ", ".join(f"{k} {n}" for k, n in found))
+        counts = sorted(report[title].items())
+        lines.append(f"{title}: " + ", ".join(f"{k} {n}" for k, n in counts))
     lines.append(f"{'promise':34}{'checked':>10}{'violated':>10}")
-    for name, one in report["promises"].items():
-        lines.append(f"{name:34}{one['checked']:10}{one['violated']:10}")
+    for name, tally in report["promises"].items():
+        lines.append(f"{name:34}{tally['checked']:10}{tally['violated']:10}")
     return "\n".join(lines)
 
 
--- a/benchmarks/soak_callers.py
+++ b/benchmarks/soak_callers.py
@@ -1,4 +1,8 @@
-"""Callers of the node soak, and what they received."""
+"""Sends requests to entries during a soak and verifies the answers.
+
+``Caller`` sends requests and records an ``Attempt`` for each;
+``verify_attempts`` compares them with what the upstreams ran.
+"""
 
 import asyncio
 import contextlib
@@ -9,11 +13,11 @@
 from currantdeal.testing.entry_world import GENERATION
 from currantdeal.testing.platform_upstream import EVENTS, pieces
 
-PATIENCE_S = 3.0
-"""Time that a caller waits, which its requests say."""
+DEADLINE_S = 3.0
+"""Deadline that callers send with each request."""
 
-GIVE_UP_S = PATIENCE_S + 2.0
-"""Time after which a caller's socket is given up for silent."""
+SOCKET_TIMEOUT_S = DEADLINE_S + 2.0
+"""Time after which a caller abandons a silent socket."""
 
 TARGETS = {
     "menu": ("/menu/1", ()),
@@ -23,27 +27,27 @@
 }
 """Path and headers by kind of request; the last two are streams."""
 
-ONCE = ("order", "note")
-"""Kinds that may run only once."""
+AT_MOST_ONCE = ("order", "note")
+"""Kinds of requests that may run at most once."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """A request and what came back.
+    """A request and its answer.
 
     Parameters
     ----------
     status : int
-        0 if no whole head came.
+        Status of the answer; 0 if its head was not received in full.
     body : bytes
-        As far as it came.
+        The part of the body that was received.
     whole : bool
-        True if the answer ended as an answer does.
+        True if the answer was received to its proper end.
     connected : bool
-        False if no connection was made, so that nothing was sent.
+        False if no connection was established, so that nothing was sent.
     """
 
-    number: str
+    request_id: str
     kind: str
     entry: str
     began_s: float
@@ -55,22 +59,22 @@
 
 
 class Caller:
-    """Sends one request after the other, on open connections while it can.
+    """Sends requests one after the other, reusing an open connection.
 
     Parameters
     ----------
     name : str
-        Begins the ids of its requests.
+        Prefix of the ids of its requests.
     entries : dict
         Address of each entry by name.
-    chance : random.Random
-        Chooses entries and kinds.
+    rng : random.Random
+        Draws entries, kinds and pauses.
     attempts : list
-        Takes every ``Attempt``.
+        Receives every ``Attempt``.
     kinds : tuple of str
-        Kinds of ``TARGETS`` that it sends.
+        Kinds of ``TARGETS`` to send.
     body : bytes or None
-        Of each request; None for the request's own id.
+        Body of each request; None for the request's own id.
     longest_pause_s : float
         Longest pause between two requests.
     """
@@ -80,79 +84,79 @@
         *,
         name,
         entries,
-        chance,
+        rng,
         attempts,
         kinds=tuple(TARGETS),
         body=None,
         longest_pause_s=0.08,
     ):
-        """Send nothing before ``run``."""
+        """Prepare the caller; ``run`` starts to send."""
         self._kinds = kinds
         self._body = body
         self._longest_pause_s = longest_pause_s
         self._name = name
         self._entries = entries
-        self._chance = chance
+        self._rng = rng
         self._attempts = attempts
         self._count = 0
-        self._open = None
+        self._connection = None
 
     async def run(self):
-        """Send, until cancelled."""
+        """Send requests until cancelled."""
         while True:
             await self.send_one()
-            await asyncio.sleep(
-                self._chance.uniform(0.0, self._longest_pause_s)
-            )
+            await asyncio.sleep(self._rng.uniform(0.0, self._longest_pause_s))
 
     async def send_one(self):
-        """Send one request and note what came back."""
+        """Send one request and record the answer."""
         loop = asyncio.get_running_loop()
         self._count += 1
-        number = f"{self._name}-{self._count}"
-        kind = self._chance.choice(self._kinds)
-        entry = self._open[0] if self._open else self._draw_entry()
+        request_id = f"{self._name}-{self._count}"
+        kind = self._rng.choice(self._kinds)
+        entry = (
+            self._connection[0] if self._connection else self._choose_entry()
+        )
         began_s = loop.time()
-        known = {"number": number, "kind": kind, "entry": entry}
+        identity = {"request_id": request_id, "kind": kind, "entry": entry}
         try:
-            async with asyncio.timeout(GIVE_UP_S):
-                found = await self._exchange(entry, number, kind)
+            async with asyncio.timeout(SOCKET_TIMEOUT_S):
+                result = await self._exchange(entry, request_id, kind)
         except (OSError, TimeoutError):
-            found = {"connected": False}
+            result = {"connected": False}
         self._attempts.append(
-            Attempt(began_s=began_s, ended_s=loop.time(), **known, **found)
+            Attempt(began_s=began_s, ended_s=loop.time(), **identity, **result)
         )
 
-    def _draw_entry(self):
-        return self._chance.choice(sorted(self._entries))
+    def _choose_entry(self):
+        return self._rng.choice(sorted(self._entries))
 
-    async def _exchange(self, entry, number, kind):
-        if self._open is None:
+    async def _exchange(self, entry, request_id, kind):
+        if self._connection is None:
             host, _, port = self._entries[entry].rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
-            self._open = (entry, reader, writer)
-        _, reader, writer = self._open
-        self._open = None
+            self._connection = (entry, reader, writer)
+        _, reader, writer = self._connection
+        self._connection = None
         http = h11.Connection(h11.CLIENT)
-        found = {"status": 0, "body": b"", "whole": False}
+        result = {"status": 0, "body": b"", "whole": False}
         try:
-            async with asyncio.timeout(GIVE_UP_S):
-                body = self._body or number.encode()
-                writer.write(_request(http, number, kind, body))
-                await _read(http, reader, found)
+            async with asyncio.timeout(SOCKET_TIMEOUT_S):
+                body = self._body or request_id.encode()
+                writer.write(_request(http, request_id, kind, body))
+                await _read(http, reader, result)
         except (OSError, TimeoutError, h11.RemoteProtocolError):
             pass
-        if found["whole"] and http.their_state is h11.DONE:
-            self._open = (entry, reader, writer)
+        if result["whole"] and http.their_state is h11.DONE:
+            self._connection = (entry, reader, writer)
         else:
             with contextlib.suppress(OSError):
                 writer.transport.abort()
-        return found
+        return result
 
 
-def _request(http, number, kind, body):
-    target, more = TARGETS[kind]
-    headers = [line.split(": ") for line in more]
+def _request(http, request_id, kind, body):
+    target, extra = TARGETS[kind]
+    headers = [line.split(": ") for line in extra]
     return (
         http.send(
             h11.Request(
@@ -160,8 +164,8 @@
                 target=target,
                 headers=[
                     ("Host", "cakes.example"),
-                    ("X-Currantdeal-Request-Id", number),
-                    ("X-Currantdeal-Deadline-Ms", str(int(PATIENCE_S * 1e3))),
+                    ("X-Currantdeal-Request-Id", request_id),
+                    ("X-Currantdeal-Deadline-Ms", str(int(DEADLINE_S * 1e3))),
                     ("Content-Length", str(len(body))),
                     *headers,
                 ],
@@ -172,60 +176,74 @@
     )
 
 
-async def _read(http, reader, found):
+async def _read(http, reader, result):
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
             http.receive_data(await reader.read(65_536))
         elif isinstance(event, h11.Response):
-            found["status"] = event.status_code
+            result["status"] = event.status_code
         elif isinstance(event, h11.Data):
-            found["body"] += bytes(event.data)
+            result["body"] += bytes(event.data)
         elif isinstance(event, h11.EndOfMessage):
-            found["whole"] = True
+            result["whole"] = True
             return
         elif isinstance(event, h11.ConnectionClosed):
             return
 
 
-def judge_attempts(attempts, runs):
-    """Return what callers were promised and did not get.
+def verify_attempts(attempts, runs):
+    """Return the promises to callers that were violated.
 
     Parameters
     ----------
     attempts : iterable of Attempt
-        Everything that callers sent.
+        All requests that callers sent.
     runs : Counter
-        How often an upstream ran each request, by its id.
+        Number of times that upstreams ran each request, by request id.
 
     Returns
     -------
     list of tuple
-        The promise and what was seen.
+        The promise and what was observed.
     """
-    found = []
-    for one in attempts:
-        if one.status == 200 and one.whole:
-            found += _judge_answer(one)
-        ran = runs[one.number]
-        if one.kind in ONCE and ran > 1:
-            found.append(("runs at most once", f"{one.number}: {ran}"))
-        if one.kind in ONCE and one.status == 503 and ran:
-            found.append(('"not run" is true', f"{one.number}: {ran}"))
-        if one.status == 200 and not ran:
-            found.append(("an answer comes from a run", one.number))
-        if one.status in (401, 403, 404):
-            found.append(("a route is known", f"{one.number}: {one.status}"))
-    return found
-
-
-def _judge_answer(one):
-    if one.kind in ("menu", "order"):
-        if one.body != one.number.encode():
-            return [("its own whole answer", f"{one.number}: {one.body!r}")]
+    result = []
+    for attempt in attempts:
+        if attempt.status == 200 and attempt.whole:
+            result += _verify_answer(attempt)
+        ran = runs[attempt.request_id]
+        if attempt.kind in AT_MOST_ONCE and ran > 1:
+            result.append(
+                ("runs at most once", f"{attempt.request_id}: {ran}")
+            )
+        if attempt.kind in AT_MOST_ONCE and attempt.status == 503 and ran:
+            result.append(
+                ('"not run" is true', f"{attempt.request_id}: {ran}")
+            )
+        if attempt.status == 200 and not ran:
+            result.append(("an answer comes from a run", attempt.request_id))
+        if attempt.status in (401, 403, 404):
+            result.append(
+                ("a route is known", f"{attempt.request_id}: {attempt.status}")
+            )
+    return result
+
+
+def _verify_answer(attempt):
+    if attempt.kind in ("menu", "order"):
+        if attempt.body != attempt.request_id.encode():
+            return [
+                (
+                    "its own whole answer",
+                    f"{attempt.request_id}: {attempt.body!r}",
+                )
+            ]
         return []
-    if pieces(one.body) != list(range(1, EVENTS + 1)):
+    if pieces(attempt.body) != list(range(1, EVENTS + 1)):
         return [
-            ("events whole and in order", f"{one.number}: {pieces(one.body)}")
+            (
+                "events whole and in order",
+                f"{attempt.request_id}: {pieces(attempt.body)}",
+            )
         ]
     return []
--- a/benchmarks/soak_crashes.py
+++ b/benchmarks/soak_crashes.py
@@ -1,8 +1,9 @@
-"""Requests that crash the upstreams that run them, beside the random faults.
+"""Soaks processes with queries of death besides the random faults.
 
-Their callers send them again and again, to any entry, while entries and
-control are killed, paused, stopped, cut off and lose disks.  Judged is how
-often they still reach upstreams, and what all other requests get.
+A query of death is a request that crashes every upstream that runs it.  Its
+callers resend it to random entries while entries and control instances are
+killed, paused, stopped, cut off and lose disks.  Verified are how often such
+requests still reach upstreams, and the answers to all other requests.
 """
 
 import asyncio
@@ -10,44 +11,48 @@
 from collections import defaultdict
 
 from benchmarks.soak_callers import Caller
-from benchmarks.soak_node_faults import NodeFaults
-from benchmarks.soak_nodes import NodeSoak, Upstream
+from benchmarks.soak_node_faults import NodeFaultInjector
+from benchmarks.soak_nodes import NodeSoak, SoakUpstream
 from currantdeal.testing.crashing_upstream import CrashingUpstream
 
 POISON = b"poison"
 CALLERS = 2
-"""Callers that send each request of this kind."""
+"""Callers that send each query of death."""
 
 LONGEST_PAUSE_S = 0.4
 DOWN_S = 2.0
 
-KNOWN_S = 4.0
-"""Time after the third crash from which few more may be sent."""
+QUARANTINE_S = 4.0
+"""Time from the third crash until the request must be quarantined.
 
-MOST_SENT_LATER = 3
+Only ``MAX_SENT_LATER`` more of it may reach upstreams afterwards.
+"""
+
+MAX_SENT_LATER = 3
 
-CALM_S = 3.0
-"""Time without faults for which all other requests must be served."""
+FAULT_FREE_S = 3.0
+"""Time without faults during which all other requests must be served."""
 
 
-class CrashingFaults(NodeFaults):
-    """The random faults on entries and control.
+class CrashingFaultInjector(NodeFaultInjector):
+    """Injects the random faults into entries and control instances only.
 
-    Upstreams are reached without a proxy, since a proxy takes connections for
-    a process that has ended.
+    Upstreams are reached without a proxy, since a proxy would accept
+    connections on behalf of a process that has ended.  Faults drawn for an
+    upstream link go to the link of an entry instead.
     """
 
-    def _harm_upstream(self):
-        return self._harm_entry()
+    def _disturb_upstream(self):
+        return self._disturb_entry()
 
 
 class CrashingSoak(NodeSoak):
-    """A soak in which each round brings two requests that crash upstreams."""
+    """A soak with two queries of death in each round."""
 
     def __init__(self, **options):
-        """Start nothing before ``run``."""
-        self._poisoned = []
-        self._senders = []
+        """Prepare the processes; ``run`` starts them."""
+        self._poison_attempts = []
+        self._poison_callers = []
         super().__init__(**options)
 
     def _make_upstreams(self):
@@ -57,70 +62,70 @@
             *(_upstream(f"d{n}", "model", "decode") for n in range(5)),
         ]
 
-    async def _before_faults(self, number):
-        other = self.chance.choice(("order", "note", "draft"))
+    async def _prepare_round(self, number):
+        other = self.rng.choice(("order", "note", "draft"))
         for kind in ("menu", other):
-            self._begin_senders(number, kind)
-        # Each crashes three upstreams, which come back.
-        await asyncio.sleep(KNOWN_S + DOWN_S)
+            self._start_poison_callers(number, kind)
+        # Each query crashes three upstreams, which then restart.
+        await asyncio.sleep(QUARANTINE_S + DOWN_S)
         began_s = asyncio.get_running_loop().time()
-        await asyncio.sleep(CALM_S)
-        self._judge_calm(began_s)
+        await asyncio.sleep(FAULT_FREE_S)
+        self._verify_fault_free(began_s)
 
-    def _begin_senders(self, number, kind):
+    def _start_poison_callers(self, number, kind):
         entries = {n: p.address for n, p in self.entry_proxies.items()}
-        for sender in range(CALLERS):
+        for index in range(CALLERS):
             caller = Caller(
-                name=f"q{number}-{kind}-{sender}",
+                name=f"q{number}-{kind}-{index}",
                 entries=entries,
-                chance=random.Random(self.chance.randrange(1 << 30)),
-                attempts=self._poisoned,
+                rng=random.Random(self.rng.randrange(1 << 30)),
+                attempts=self._poison_attempts,
                 kinds=(kind,),
                 body=POISON + f"-{number}-{kind}".encode(),
                 longest_pause_s=LONGEST_PAUSE_S,
             )
-            self._senders.append(asyncio.ensure_future(caller.run()))
+            self._poison_callers.append(asyncio.ensure_future(caller.run()))
 
-    def _judge_calm(self, began_s):
-        for one in self.attempts:
-            if one.began_s >= began_s:
+    def _verify_fault_free(self, began_s):
+        for attempt in self.attempts:
+            if attempt.began_s >= began_s:
                 self.check(
                     "requests beside a query of death are served",
-                    one.status == 200 and one.whole,
-                    f"{one.number}: {one.status}",
+                    attempt.status == 200 and attempt.whole,
+                    f"{attempt.request_id}: {attempt.status}",
                 )
 
-    def _judge(self):
-        for task in self._senders:
+    def _verify(self):
+        for task in self._poison_callers:
             task.cancel()
-        super()._judge()
-        for one in self.attempts:
+        super()._verify()
+        for attempt in self.attempts:
             self.check(
                 "no other request is quarantined",
-                one.status != 429,
-                f"{one.number}: {one.status}",
+                attempt.status != 429,
+                f"{attempt.request_id}: {attempt.status}",
             )
-        for body, sent in self._by_body("sent").items():
-            self._judge_sent(body, sent)
+        for body, sent in self._collect_by_body("sent").items():
+            self._verify_quarantine(body, sent)
 
-    def _judge_sent(self, body, sent):
-        crashes = sorted(self._by_body("crashes")[body])
+    def _verify_quarantine(self, body, sent):
+        crashes = sorted(self._collect_by_body("crashes")[body])
         if len(crashes) < 3:
             return
-        known_s = crashes[2][0] + KNOWN_S
-        late = {number for at_s, number in sent if at_s > known_s}
+        quarantined_s = crashes[2][0] + QUARANTINE_S
+        late = {number for at_s, number in sent if at_s > quarantined_s}
         self.check(
             "a query of death is not sent on",
-            len(late) <= MOST_SENT_LATER,
+            len(late) <= MAX_SENT_LATER,
             f"{body}: {len(crashes)} crashes, {len(late)} sent later",
         )
 
-    def _by_body(self, name):
-        found = defaultdict(list)
+    def _collect_by_body(self, name):
+        by_body = defaultdict(list)
         for upstream in self.upstreams:
             for at_s, number, body in getattr(upstream.standin, name):
-                found[body].append((at_s, number))
-        return found
+                by_body[body].append((at_s, number))
+        return by_body
 
 
 def _upstream(name, service, stage=""):
@@ -129,4 +134,6 @@
         crashes_under=lambda request: request.body.startswith(POISON),
         down_s=DOWN_S,
     )
-    return Upstream(name=name, service=service, stage=stage, standin=standin)
+    return SoakUpstream(
+        name=name, service=service, stage=stage, standin=standin
+    )
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -1,4 +1,8 @@
-"""Random faults on a cluster, several at once, and their undoing."""
+"""Injects random faults into a cluster of instances and undoes them.
+
+``benchmarks.soak`` keeps several faults active at once and undoes each when
+its time is over.
+"""
 
 import shutil
 import time
@@ -16,18 +20,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """A fault that has begun.
+    """An active fault.
 
     Parameters
     ----------
     name : str
-        What it is, for the record.
+        Kind and place of the fault, for the record.
     undo : callable
-        Ends it.
+        Ends the fault.
     ends_s : float
-        Monotonic time at which it is to end.
+        Monotonic time at which the fault is due to be undone.
     instances : tuple of str
-        Instances whose callers may be cut off by it.
+        Instances whose callers the fault may cut off.
     """
 
     name: str
@@ -36,26 +40,26 @@
     instances: tuple[str, ...] = ()
 
 
-class FaultMaker:
-    """Begins random faults.
+class FaultInjector:
+    """Injects random faults.
 
     Parameters
     ----------
     world : World
         The cluster.
-    chance : random.Random
-        Chooses faults, places and times.
-    record : Record
-        Takes withdrawals, exits and journals of killed engines.
+    rng : random.Random
+        Draws the kind, place and duration of each fault.
+    record : SoakRecord
+        Receives withdrawals, exits and the journals of killed engines.
     """
 
-    def __init__(self, *, world, chance, record):
-        """Begin nothing yet."""
+    def __init__(self, *, world, rng, record):
+        """Prepare the kinds of faults without injecting any."""
         self._world = world
         self._cluster = world.cluster
-        self._chance = chance
+        self._rng = rng
         self._record = record
-        self._busy = set()
+        self._affected = set()
         self._kinds = (
             self._kill,
             self._kill,
@@ -74,18 +78,18 @@
             self._lose_disk,
         )
 
-    def begin(self):
-        """Return a new fault, or None when the chosen place is taken."""
-        return self._chance.choice(self._kinds)()
+    def inject(self):
+        """Inject a fault; return None if its place already has one."""
+        return self._rng.choice(self._kinds)()
 
-    def _fault(self, name, undo, *, place, instances=()):
-        self._busy.add(place)
+    def _make_fault(self, name, undo, *, place, instances=()):
+        self._affected.add(place)
 
         def end():
-            self._busy.discard(place)
+            self._affected.discard(place)
             undo()
 
-        length_s = self._chance.uniform(SHORTEST_S, LONGEST_S)
+        length_s = self._rng.uniform(SHORTEST_S, LONGEST_S)
         return Fault(
             name=name,
             undo=end,
@@ -93,29 +97,29 @@
             instances=tuple(instances),
         )
 
-    def _instance(self, *, disk=None):
+    def _pick_instance(self, *, disk=None):
         found = [
-            one
-            for name, one in self._cluster.instances.items()
-            if name not in self._busy
-            and disk in (None, bool(one.settings.data_folder))
+            instance
+            for name, instance in self._cluster.instances.items()
+            if name not in self._affected
+            and disk in (None, bool(instance.settings.data_folder))
         ]
-        return self._chance.choice(found) if found else None
+        return self._rng.choice(found) if found else None
 
-    def _engine(self):
+    def _pick_engine(self):
         found = [
             name
             for name in self._cluster.stand_ins
-            if not name.startswith("shop") and name not in self._busy
+            if not name.startswith("shop") and name not in self._affected
         ]
-        return self._chance.choice(found) if found else None
+        return self._rng.choice(found) if found else None
 
     def _kill(self):
-        instance = self._instance()
+        instance = self._pick_instance()
         if instance is None:
             return None
         instance.kill()
-        return self._fault(
+        return self._make_fault(
             f"kill {instance.name}",
             instance.start,
             place=instance.name,
@@ -123,17 +127,18 @@
         )
 
     def _lose_disk(self):
-        if self._busy & self._replicas():
+        if self._affected & self._replicas():
             return None
-        instance = self._instance(disk=True)
+        instance = self._pick_instance(disk=True)
         if instance is None:
             return None
         instance.kill()
         shutil.rmtree(instance.settings.data_folder, ignore_errors=True)
-        # No other replica fails until this one is whole again: the promise
-        # is one lost disk at a time, and a second loss after the repair.
-        kept = self._replicas() - {instance.name}
-        self._busy |= kept
+        # No other replica may fail until this one is repaired: the system
+        # promises to survive one lost disk at a time, and a second loss only
+        # after the repair of the first.
+        spared = self._replicas() - {instance.name}
+        self._affected |= spared
 
         def undo():
             instance.start()
@@ -142,9 +147,9 @@
                     instance.name, limit_s=EXIT_LIMIT_S
                 )
             finally:
-                self._busy -= kept
+                self._affected -= spared
 
-        return self._fault(
+        return self._make_fault(
             f"lose the disk of {instance.name}",
             undo,
             place=instance.name,
@@ -154,16 +159,16 @@
     def _replicas(self):
         return {
             name
-            for name, one in self._cluster.instances.items()
-            if one.settings.data_folder
+            for name, instance in self._cluster.instances.items()
+            if instance.settings.data_folder
         }
 
     def _freeze(self):
-        instance = self._instance()
+        instance = self._pick_instance()
         if instance is None:
             return None
         instance.freeze()
-        return self._fault(
+        return self._make_fault(
             f"freeze {instance.name}",
             instance.thaw,
             place=instance.name,
@@ -171,11 +176,11 @@
         )
 
     def _isolate(self):
-        instance = self._instance()
+        instance = self._pick_instance()
         if instance is None:
             return None
         self._cluster.isolate(instance.name)
-        return self._fault(
+        return self._make_fault(
             f"isolate {instance.name}",
             lambda: self._set_cut({instance.name}, Cut.NONE),
             place=instance.name,
@@ -184,24 +189,25 @@
 
     def _isolate_region(self):
         regions = {
-            one.settings.region for one in self._cluster.instances.values()
+            instance.settings.region
+            for instance in self._cluster.instances.values()
         }
-        region = self._chance.choice(sorted(regions))
+        region = self._rng.choice(sorted(regions))
         names = {
             name
-            for name, one in self._cluster.instances.items()
-            if one.settings.region == region
+            for name, instance in self._cluster.instances.items()
+            if instance.settings.region == region
         }
-        if names & self._busy:
+        if names & self._affected:
             return None
         self._cluster.isolate_region(region)
-        self._busy |= names
+        self._affected |= names
 
         def undo():
-            self._busy.difference_update(names)
+            self._affected.difference_update(names)
             self._set_cut(names, Cut.NONE)
 
-        return self._fault(
+        return self._make_fault(
             f"isolate {region}", undo, place=region, instances=names
         )
 
@@ -212,33 +218,33 @@
                     self._cluster.cut(source, target, cut)
 
     def _cut_one_way(self):
-        source, target = self._instance(), self._instance()
+        source, target = self._pick_instance(), self._pick_instance()
         if source is None or source is target:
             return None
         self._cluster.cut(source.name, target.name, Cut.TO_TARGET)
-        return self._fault(
+        return self._make_fault(
             f"cut {source.name} to {target.name}",
             lambda: self._cluster.cut(source.name, target.name, Cut.NONE),
             place=f"{source.name}/{target.name}",
         )
 
     def _silence_peers(self):
-        source, target = self._instance(), self._instance()
+        source, target = self._pick_instance(), self._pick_instance()
         if source is None or source is target:
             return None
         self._cluster.peer_proxy(source.name, target.name).silence_open()
-        return self._fault(
+        return self._make_fault(
             f"silence {source.name} to {target.name}",
             lambda: None,
             place=f"silence {source.name}",
         )
 
     def _silence_callers(self):
-        instance = self._instance()
+        instance = self._pick_instance()
         if instance is None:
             return None
         self._cluster.caller_proxy(instance.name).silence_open()
-        return self._fault(
+        return self._make_fault(
             f"silence callers of {instance.name}",
             lambda: None,
             place=f"callers {instance.name}",
@@ -246,19 +252,19 @@
         )
 
     def _silence_upstream(self):
-        name = self._chance.choice(sorted(self._cluster.stand_ins))
+        name = self._rng.choice(sorted(self._cluster.stand_ins))
         self._cluster.stand_in(name).proxy.silence_open()
-        return self._fault(
+        return self._make_fault(
             f"silence {name}", lambda: None, place=f"silence {name}"
         )
 
     def _kill_engine(self):
-        name = self._engine()
+        name = self._pick_engine()
         if name is None:
             return None
-        self._record.keep_journal(name, self._cluster.stand_in(name).client)
+        self._record.save_journal(name, self._cluster.stand_in(name).client)
         self._cluster.restart_stand_in(name)
-        return self._fault(
+        return self._make_fault(
             f"restart {name}", lambda: None, place=f"restart {name}"
         )
 
@@ -269,7 +275,7 @@
         return self._engine_fault("slow", 6.0, 1.0, "slow_factor")
 
     def _engine_fault(self, name, value, normal, field):
-        engine = self._engine()
+        engine = self._pick_engine()
         if engine is None:
             return None
 
@@ -278,12 +284,12 @@
             client.set_faults(**{field: wanted})
 
         set_to(value)
-        return self._fault(
+        return self._make_fault(
             f"{name} {engine}", lambda: set_to(normal), place=f"slow {engine}"
         )
 
     def _withdraw(self):
-        engine = self._engine()
+        engine = self._pick_engine()
         if engine is None:
             return None
         began_s = self._change_label(engine, withdrawn=True)
@@ -291,18 +297,18 @@
             return None
 
         def undo():
-            # Until the answer to the restoration, work may come again from
-            # the moment it was asked for.
-            asked_s = time.time()
-            self._record.withdrawn(engine, began_s, asked_s)
+            # The engine may receive work again as soon as the restoration
+            # is requested, even before the answer arrives.
+            requested_s = time.time()
+            self._record.record_withdrawal(engine, began_s, requested_s)
             while self._change_label(engine, withdrawn=False) is None:
                 time.sleep(0.5)
 
-        return self._fault(f"withdraw {engine}", undo, place=engine)
+        return self._make_fault(f"withdraw {engine}", undo, place=engine)
 
     def _change_label(self, engine, *, withdrawn):
         for name in self._cluster.instances:
-            if name in self._busy:
+            if name in self._affected:
                 continue
             try:
                 at = self._cluster.instance(name)
@@ -312,7 +318,7 @@
         return None
 
     def _stop_gracefully(self):
-        instance = self._instance()
+        instance = self._pick_instance()
         if instance is None:
             return None
         began_s = time.time()
@@ -322,9 +328,11 @@
                 status = instance.process.wait(limit_s=EXIT_LIMIT_S)
             except HarnessError:
                 status = None
-            self._record.exited(instance.name, began_s, status)
+            self._record.record_exit(instance.name, began_s, status)
             instance.kill()
             instance.start()
 
         instance.process.send_signal(15)
-        return self._fault(f"stop {instance.name}", undo, place=instance.name)
+        return self._make_fault(
+            f"stop {instance.name}", undo, place=instance.name
+        )
--- a/benchmarks/soak_node_faults.py
+++ b/benchmarks/soak_node_faults.py
@@ -1,4 +1,4 @@
-"""Random faults on entry and control processes and their connections."""
+"""Injects random faults into entry and control processes and their links."""
 
 import asyncio
 import shutil
@@ -14,23 +14,23 @@
 """Longest pause of a process: longer than any lease or silence limit."""
 
 DISK_PAUSE_S = 8.0
-"""Time between two losses of a disk, for the first to be made up for."""
+"""Time between two losses of a disk, for the repair of the first."""
 
 
-class NodeFaults:
-    """Begins random faults and heals them.
+class NodeFaultInjector:
+    """Injects random faults and heals them.
 
     Parameters
     ----------
     soak : benchmarks.soak_nodes.NodeSoak
-        The processes, proxies and source of chance.
+        Provides the processes, the proxies and the random generator.
     """
 
     def __init__(self, *, soak):
-        """Begin nothing yet."""
+        """Prepare the kinds of faults without injecting any."""
         self._soak = soak
-        self._chance = soak.chance
-        self._busy = set()
+        self._rng = soak.rng
+        self._affected = set()
         self._pending = set()
         self._disk_lost_s = None
         self._kinds = (
@@ -41,81 +41,82 @@
             self._kill_all_control,
             self._lose_disk,
             self._tear_disk,
-            self._hang_up,
-            self._harm_upstream,
-            self._harm_upstream,
-            self._harm_entry,
+            self._send_hangup,
+            self._disturb_upstream,
+            self._disturb_upstream,
+            self._disturb_entry,
         )
 
-    def begin(self):
-        """Begin a fault and return its name.
+    def inject(self):
+        """Inject a fault and return its name.
 
-        A kind that finds all its places taken gives way to another one.
+        Draws another kind if all possible places of a kind already have a
+        fault.
         """
         name = None
         while name is None:
-            name = self._chance.choice(self._kinds)()
+            name = self._rng.choice(self._kinds)()
         return name
 
     async def heal(self):
         """Wait until the last fault has ended.
 
-        A process that a signal met before it could handle it has ended, and
-        is started again, as on the platform.
+        A process exits early if a signal arrives before its handler is
+        installed.  Such a process is started again, as the platform does.
         """
         await asyncio.gather(*self._pending)
         for process in self._soak.cluster.processes:
             if not process.is_running:
-                self._soak.ended += 1
+                self._soak.early_exits += 1
                 _restart(process)
 
-    def _later(self, undo, *, process=None, most_s=LONGEST_S):
-        """Undo a fault after some time."""
+    def _undo_later(self, undo, *, process=None, longest_s=LONGEST_S):
+        """Undo a fault after a random time."""
         if process is not None:
-            self._busy.add(process)
+            self._affected.add(process)
 
         async def wait():
-            await asyncio.sleep(self._chance.uniform(SHORTEST_S, most_s))
+            await asyncio.sleep(self._rng.uniform(SHORTEST_S, longest_s))
             undo()
-            self._busy.discard(process)
+            self._affected.discard(process)
 
-        self._run(wait())
+        self._start_task(wait())
 
-    def _run(self, work):
+    def _start_task(self, work):
         task = asyncio.ensure_future(work)
         self._pending.add(task)
         task.add_done_callback(self._pending.discard)
 
-    def _process(self, *, among=None):
-        found = [
+    def _pick_process(self, *, among=None):
+        candidates = [
             process
             for process in among or self._soak.cluster.processes
-            if process not in self._busy
+            if process not in self._affected
         ]
-        return self._chance.choice(found) if found else None
+        return self._rng.choice(candidates) if candidates else None
 
     def _kill(self):
-        process = self._process()
+        process = self._pick_process()
         if process is None:
             return None
         process.kill()
-        self._later(lambda: _restart(process), process=process)
+        self._undo_later(lambda: _restart(process), process=process)
         return f"kill-{process.role}"
 
     def _pause(self):
-        process = self._process()
+        process = self._pick_process()
         if process is None:
             return None
         process.send_signal(signal.SIGSTOP)
-        self._later(
+        self._undo_later(
             lambda: process.send_signal(signal.SIGCONT),
             process=process,
-            most_s=LONGEST_PAUSE_S,
+            longest_s=LONGEST_PAUSE_S,
         )
         return f"pause-{process.role}"
 
     def _stop(self):
-        process = self._process()
+        process = self._pick_process()
         if process is None:
             return None
         process.send_signal(signal.SIGTERM)
@@ -124,74 +125,74 @@
             process.kill()
             _restart(process)
 
-        self._later(undo, process=process)
+        self._undo_later(undo, process=process)
         return f"stop-{process.role}"
 
     def _kill_all_control(self):
         control = self._soak.cluster.control
-        if self._busy.intersection(control):
+        if self._affected.intersection(control):
             return None
         for process in control:
             process.kill()
-            self._later(
+            self._undo_later(
                 lambda process=process: _restart(process),
                 process=process,
-                most_s=1.0,
+                longest_s=1.0,
             )
         return "kill-all-control"
 
     def _lose_disk(self):
-        return self._harm_disk("lose-disk", _lose_folder)
+        return self._damage_disk("lose-disk", _lose_folder)
 
     def _tear_disk(self):
-        return self._harm_disk("tear-disk", _tear_files)
+        return self._damage_disk("tear-disk", _tear_files)
 
-    def _harm_disk(self, name, harm):
-        """Kill a control instance and harm its disk.
+    def _damage_disk(self, name, damage):
+        """Kill a control instance and damage its disk.
 
-        One disk may be lost at a time, so no other control instance is
-        harmed before this one has had time to make up for it.
+        One disk may be lost at a time, so no other control instance gets a
+        fault until this one has had time to recover its data.
         """
         now_s = asyncio.get_running_loop().time()
         control = self._soak.cluster.control
         lost_s = self._disk_lost_s
         if lost_s is not None and now_s - lost_s < DISK_PAUSE_S:
             return None
-        if self._busy.intersection(control):
+        if self._affected.intersection(control):
             return None
-        process = self._process(among=control)
+        process = self._pick_process(among=control)
         process.kill()
-        harm(process.settings["data_folder"])
+        damage(process.settings["data_folder"])
         self._disk_lost_s = now_s
-        self._busy.update(control)
+        self._affected.update(control)
 
         def undo():
             _restart(process)
-            self._run(self._free_control_later())
+            self._start_task(self._release_control_later())
 
-        self._later(undo, process=process)
+        self._undo_later(undo, process=process)
         return name
 
-    async def _free_control_later(self):
+    async def _release_control_later(self):
         await asyncio.sleep(DISK_PAUSE_S)
-        self._busy.difference_update(self._soak.cluster.control)
+        self._affected.difference_update(self._soak.cluster.control)
 
-    def _hang_up(self):
-        process = self._process()
+    def _send_hangup(self):
+        process = self._pick_process()
         if process is not None:
             process.send_signal(signal.SIGHUP)
         return "hang-up"
 
-    def _harm_upstream(self):
-        upstream = self._chance.choice(self._soak.upstreams)
-        return self._harm_link(upstream.proxy, "upstream")
+    def _disturb_upstream(self):
+        upstream = self._rng.choice(self._soak.upstreams)
+        return self._disturb_link(upstream.proxy, "upstream")
 
-    def _harm_entry(self):
-        name = self._chance.choice(sorted(self._soak.entry_proxies))
-        return self._harm_link(self._soak.entry_proxies[name], "entry")
+    def _disturb_entry(self):
+        name = self._rng.choice(sorted(self._soak.entry_proxies))
+        return self._disturb_link(self._soak.entry_proxies[name], "entry")
 
-    def _harm_link(self, proxy, name):
-        kind = self._chance.choice(
+    def _disturb_link(self, proxy, name):
+        kind = self._rng.choice(
             ("delay", "cut", "cut-one-way", "refuse", "silence", "reset")
         )
         if kind == "silence":
@@ -200,18 +201,18 @@
             proxy.reset_open()
         else:
             proxy.set_faults(self._link_faults(kind))
-            self._later(lambda: proxy.set_faults(LinkFaults()))
+            self._undo_later(lambda: proxy.set_faults(LinkFaults()))
         return f"{kind}-{name}"
 
     def _link_faults(self, kind):
         if kind == "delay":
-            return LinkFaults(delay_s=self._chance.uniform(0.02, 0.3))
+            return LinkFaults(delay_s=self._rng.uniform(0.02, 0.3))
         if kind == "refuse":
             return LinkFaults(refuse=True)
         if kind == "cut":
             return LinkFaults(cut=Cut.BOTH)
-        way = self._chance.choice((Cut.TO_TARGET, Cut.TO_SOURCE))
-        return LinkFaults(cut=way)
+        direction = self._rng.choice((Cut.TO_TARGET, Cut.TO_SOURCE))
+        return LinkFaults(cut=direction)
 
 
 def _restart(process):
@@ -225,7 +226,7 @@
 
 
 def _tear_files(folder):
-    """Leave half a record at the end of the newest file, as a crash may."""
+    """Leave a torn record at the end of the newest file, as a crash may."""
     files = [f for f in Path(folder).rglob("*") if f.is_file()]
     if files:
         newest = max(files, key=lambda f: f.stat().st_mtime_ns)
--- a/benchmarks/soak_nodes.py
+++ b/benchmarks/soak_nodes.py
@@ -1,13 +1,14 @@
-"""Random faults on entry and control processes, and every promise checked.
+"""Soaks entry and control processes under random faults.
 
-Real processes serve callers against stand-ins of upstreams.  Connections of
-callers and to upstreams pass proxies that delay, cut, silence and reset them;
-processes are paused, killed, stopped and restarted by signals, disks of
-control instances are lost or end in half a record.  Faults overlap in each
-round.  Then everything is healed, and what must hold in calm times is
-checked as well: a planned stop, an upstream that drains, recovery.
+Real processes serve callers with stand-in upstreams.  Connections from
+callers and to upstreams pass through proxies that delay, cut, silence and
+reset them.  Processes are paused, killed, stopped and restarted by signals;
+disks of control instances are lost or end in a torn record.  Faults overlap
+within a round.  After each round all faults are undone, and what must hold
+without faults is checked too: recovery, a planned stop and an upstream that
+drains.
 
-Only what callers, upstreams and the operator see is judged.
+The verdict uses only what callers, upstreams and the operator observe.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 import subprocess
 from collections import Counter
 
-from benchmarks.soak_callers import TARGETS, Caller, judge_attempts
-from benchmarks.soak_node_faults import NodeFaults
+from benchmarks.soak_callers import TARGETS, Caller, verify_attempts
+from benchmarks.soak_node_faults import NodeFaultInjector
 from currantdeal.testing.entry_world import config_body
 from currantdeal.testing.node_processes import NodeCluster
 from currantdeal.testing.platform_upstream import StandInUpstream, heartbeat
@@ -28,31 +29,32 @@
 ROUND_S = 12.0
 CALLERS = 12
 APPLY_S = 2.5
-"""Time in which a change is in force and read everywhere."""
+"""Time within which a change is in force and every read returns it."""
 
 RECOVER_S = 15.0
 DRAIN_S = 2.5
-BEAT_S = 0.5
-CALM_S = 4.5
-"""Quiet time after which a process counts as undisturbed."""
+HEARTBEAT_S = 0.5
+QUIET_S = 4.5
+"""Time without faults after which a process counts as undisturbed."""
 
 STOP_S = 9.0
-"""Time for a planned stop: the grace of eight seconds and the notice of it."""
+"""Limit of a planned stop: the grace period of 8 s and its announcement."""
 
 
-class Upstream:
-    """A stand-in that announces itself, behind a proxy or not.
+class SoakUpstream:
+    """A stand-in upstream with its heartbeats and, optionally, a proxy.
 
     Parameters
     ----------
     name, service, stage : str
         As in its heartbeats; no stage for a plain service.
     standin : StandInUpstream or None
-        One that is reached without a proxy; None for a sound one behind one.
+        Stand-in that is reached without a proxy.  None creates a healthy
+        stand-in behind a proxy.
     """
 
     def __init__(self, *, name, service, stage="", standin=None):
-        """Start nothing yet."""
+        """Prepare the stand-in without starting it."""
         self.name = name
         self.standin = standin or StandInUpstream(upstream=name, script=_echo)
         self.proxy = None
@@ -64,32 +66,32 @@
         self.born = 0
 
     async def start(self):
-        """Listen, behind the proxy."""
+        """Start the stand-in and its proxy, if it has one."""
         await self.standin.start()
         if self._is_proxied:
             self.proxy = FaultProxy(target=self.standin.address)
 
-    def beat(self):
+    def next_heartbeat(self):
         """Return the next heartbeat."""
         self._sequence += 1
-        reached = self.proxy or self.standin
-        more = {}
+        target = self.proxy or self.standin
+        extra = {}
         if self._stage:
             models = [{"Name": "m", "Version": 1, "Adapters": []}]
-            more = {"Stage": self._stage, "Models": models}
+            extra = {"Stage": self._stage, "Models": models}
         return heartbeat(
-            reached.address,
+            target.address,
             self._service,
             state=self.state,
             sequence=self._sequence,
             born=self.born + self.standin.incarnation,
-            **more,
+            **extra,
         )
 
 
 async def _echo(standin, request, writer):
-    plain = not request.get("X-Currantdeal-Token-Counts")
-    if plain and not request.target.startswith("/v1/"):
+    is_plain = not request.get("X-Currantdeal-Token-Counts")
+    if is_plain and not request.target.startswith("/v1/"):
         standin.send(request, writer, 200, request.body)
         await writer.drain()
         return True
@@ -97,26 +99,26 @@
 
 
 class NodeSoak:
-    """One soak.
+    """One soak of entry and control processes.
 
     Parameters
     ----------
     seed : int
-        Chooses all faults.
+        Determines all faults.
     folder : pathlib.Path
         Holds settings, logs and disks.
     control, entries : int
         Numbers of processes.
     faults : type
-        Begins and heals the faults, such as ``NodeFaults``.
+        Injects and heals the faults, such as ``NodeFaultInjector``.
     """
 
     def __init__(
-        self, *, seed, folder, control=3, entries=3, faults=NodeFaults
+        self, *, seed, folder, control=3, entries=3, faults=NodeFaultInjector
     ):
-        """Start nothing before ``run``."""
-        self._faults_of = faults
-        self.chance = random.Random(seed)
+        """Prepare the processes; ``run`` starts them."""
+        self._fault_injector_type = faults
+        self.rng = random.Random(seed)
         self.cluster = NodeCluster(
             folder=folder, control=control, entries=entries
         )
@@ -125,7 +127,7 @@
         self.violations = []
         self.checked = Counter()
         self.faults = []
-        self.ended = 0
+        self.early_exits = 0
         self.attempts = []
         self._sent = {}
         self._acknowledged = []
@@ -133,14 +135,14 @@
 
     def _make_upstreams(self):
         return [
-            *(Upstream(name=f"s{n}", service="shop") for n in range(3)),
-            Upstream(name="p1", service="model", stage="prefill"),
-            Upstream(name="d1", service="model", stage="decode"),
-            Upstream(name="d2", service="model", stage="decode"),
+            *(SoakUpstream(name=f"s{n}", service="shop") for n in range(3)),
+            SoakUpstream(name="p1", service="model", stage="prefill"),
+            SoakUpstream(name="d1", service="model", stage="decode"),
+            SoakUpstream(name="d2", service="model", stage="decode"),
         ]
 
     async def run(self, *, rounds):
-        """Play rounds of faults and judge them."""
+        """Run rounds of faults and verify every promise."""
         with self.cluster:
             for upstream in self.upstreams:
                 await upstream.start()
@@ -150,83 +152,87 @@
                 self.entry_proxies[name] = FaultProxy(target=target)
             tasks = [
                 asyncio.ensure_future(work)
-                for work in (self._beats(), self._changes(), self._reads())
+                for work in (
+                    self._send_heartbeats(),
+                    self._change_config(),
+                    self._read_config(),
+                )
             ]
             try:
-                await self._recover("start")
+                await self._check_recovery("start")
                 for number in range(1, rounds + 1):
-                    await self._round(number)
+                    await self._run_round(number)
             finally:
                 for task in tasks:
                     task.cancel()
-        self._judge()
+        self._verify()
 
-    def check(self, promise, kept, detail):
-        """Count a check and note it where a promise was not kept."""
+    def check(self, promise, holds, detail):
+        """Count a check of a promise and record a violation of it."""
         self.checked[promise] += 1
-        if not kept:
+        if not holds:
             self.violations.append((promise, detail))
 
     async def call(self, method, path, body=None):
-        """Call some control instance; returns status and body."""
-        process = self.chance.choice(self.cluster.control)
+        """Call a random control instance; return status and body."""
+        process = self.rng.choice(self.cluster.control)
         url = self.cluster.control_url(process, path)
         return await asyncio.to_thread(self.cluster.call, method, url, body)
 
-    async def _round(self, number):
-        callers = self._begin_callers(f"r{number}")
-        await self._before_faults(number)
-        faults = self._faults_of(soak=self)
+    async def _run_round(self, number):
+        callers = self._start_callers(f"r{number}")
+        await self._prepare_round(number)
+        faults = self._fault_injector_type(soak=self)
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + ROUND_S
         names = []
         while loop.time() < ends_s:
-            names.append(faults.begin())
-            await asyncio.sleep(self.chance.uniform(0.1, 1.5))
+            names.append(faults.inject())
+            await asyncio.sleep(self.rng.uniform(0.1, 1.5))
         await faults.heal()
-        await self._recover(f"{names}")
-        await asyncio.sleep(CALM_S)
-        await self._stop_an_entry()
-        await self._drain_an_upstream()
+        await self._check_recovery(f"{names}")
+        await asyncio.sleep(QUIET_S)
+        await self._stop_entry()
+        await self._drain_upstream()
         for task in callers:
             task.cancel()
         self.faults += names
 
-    async def _before_faults(self, number):
-        """Do what a kind of soak does before the faults of a round."""
+    async def _prepare_round(self, number):
+        """Run the steps of a subclass before the faults of a round."""
 
-    def _begin_callers(self, prefix):
+    def _start_callers(self, prefix):
         entries = {n: p.address for n, p in self.entry_proxies.items()}
         return [
             asyncio.ensure_future(
                 Caller(
                     name=f"{prefix}-c{number}",
                     entries=entries,
-                    chance=random.Random(self.chance.randrange(1 << 30)),
+                    rng=random.Random(self.rng.randrange(1 << 30)),
                     attempts=self.attempts,
                 ).run()
             )
             for number in range(CALLERS)
         ]
 
-    async def _beats(self):
+    async def _send_heartbeats(self):
         while True:
-            # A process that has ended says nothing.
+            # A process that has ended sends no heartbeats.
             alive = [u for u in self.upstreams if u.standin.is_up]
-            await asyncio.gather(*(self._beat(u) for u in alive))
-            await asyncio.sleep(BEAT_S)
+            await asyncio.gather(*(self._send_heartbeat(u) for u in alive))
+            await asyncio.sleep(HEARTBEAT_S)
 
-    async def _beat(self, upstream):
+    async def _send_heartbeat(self, upstream):
         path = f"/v1/instances/{upstream.name}"
-        body = json.dumps(upstream.beat()).encode()
+        body = json.dumps(upstream.next_heartbeat()).encode()
         for _ in range(3):
             status, _ = await self.call("PUT", path, body)
             if status == 200:
                 return
 
-    async def _changes(self):
+    async def _change_config(self):
         while True:
-            self._version += self.chance.randint(1, 3)
+            self._version += self.rng.randint(1, 3)
             version = self._version
             body = config_body(version=version, timeout_ms=3_000 + version)
             self._sent[version] = body
@@ -235,18 +241,18 @@
                 status, _ = await self.call("PUT", "/v1/config", body)
             now_s = asyncio.get_running_loop().time()
             self._acknowledged.append((now_s, version))
-            await asyncio.sleep(self.chance.choice((0.05, 0.3, 1.5)))
+            await asyncio.sleep(self.rng.choice((0.05, 0.3, 1.5)))
 
-    async def _reads(self):
+    async def _read_config(self):
         loop = asyncio.get_running_loop()
         while True:
             began_s = loop.time()
             status, body = await self.call("GET", "/v1/config")
             if status == 200:
-                self._judge_read(began_s, body)
+                self._verify_read(began_s, body)
             await asyncio.sleep(0.2)
 
-    def _judge_read(self, began_s, body):
+    def _verify_read(self, began_s, body):
         read = json.loads(body)
         version = read["Version"]
         due = [v for at, v in self._acknowledged if at < began_s - APPLY_S]
@@ -261,50 +267,52 @@
             f"version {version}",
         )
 
-    async def _recover(self, after):
+    async def _check_recovery(self, after):
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + RECOVER_S
-        waiting = {e.settings["instance"]: e for e in self.cluster.entries}
-        while waiting and loop.time() < ends_s:
-            # All at once: asked in turn, many entries take longer to probe
-            # than to recover.
-            asked = tuple(waiting)
-            serve = await asyncio.gather(
-                *(self._is_back(name, waiting[name]) for name in asked)
+        unready = {e.settings["instance"]: e for e in self.cluster.entries}
+        while unready and loop.time() < ends_s:
+            # Probes run concurrently: one after the other, they would take
+            # longer than the recovery of many entries.
+            names = tuple(unready)
+            serving = await asyncio.gather(
+                *(self._is_serving(name, unready[name]) for name in names)
             )
-            for name in itertools.compress(asked, serve):
-                del waiting[name]
+            for name in itertools.compress(names, serving):
+                del unready[name]
             await asyncio.sleep(0.1)
         self.check(
             "the system recovers",
-            not waiting,
-            f"after {after}: {sorted(waiting)}",
+            not unready,
+            f"after {after}: {sorted(unready)}",
         )
 
-    async def _is_back(self, name, entry):
+    async def _is_serving(self, name, entry):
         ready = await asyncio.to_thread(self.cluster.is_ready, entry)
-        return ready and await self._serves(name)
+        return ready and await self._serves_every_kind(name)
 
-    async def _serves(self, name):
-        """Return whether an entry serves one request of each kind."""
-        seen = []
+    async def _serves_every_kind(self, name):
+        """Return True if an entry serves one request of each kind."""
+        probes = []
         address = self.entry_proxies[name].address
         for kind in TARGETS:
             caller = Caller(
-                name=f"probe-{self.chance.randrange(1 << 40):x}",
+                name=f"probe-{self.rng.randrange(1 << 40):x}",
                 entries={name: address},
-                chance=_Always(kind),
-                attempts=seen,
+                rng=_FixedChoice(kind),
+                attempts=probes,
             )
             await caller.send_one()
-        self.attempts.extend(seen)
-        return all(one.status == 200 and one.whole for one in seen)
+        self.attempts.extend(probes)
+        return all(
+            attempt.status == 200 and attempt.whole for attempt in probes
+        )
 
-    async def _stop_an_entry(self):
-        entry = self.chance.choice(self.cluster.entries)
+    async def _stop_entry(self):
+        entry = self.rng.choice(self.cluster.entries)
         name = entry.settings["instance"]
         loop = asyncio.get_running_loop()
-        told_s = loop.time()
+        signalled_s = loop.time()
         entry.send_signal(signal.SIGTERM)
         try:
             status = await asyncio.to_thread(entry.wait, STOP_S)
@@ -312,20 +320,23 @@
             status = "still running"
             entry.kill()
         self.check("a planned stop ends by itself", status == 0, str(status))
-        for one in self.attempts:
-            if one.entry == name and one.began_s < told_s < one.ended_s:
+        for attempt in self.attempts:
+            if (
+                attempt.entry == name
+                and attempt.began_s < signalled_s < attempt.ended_s
+            ):
                 self.check(
                     "a planned stop cuts nothing",
-                    one.whole,
-                    f"{one.number}: {one.status}",
+                    attempt.whole,
+                    f"{attempt.request_id}: {attempt.status}",
                 )
         entry.start()
-        await self._recover("a planned stop")
+        await self._check_recovery("a planned stop")
 
-    async def _drain_an_upstream(self):
+    async def _drain_upstream(self):
         upstream = self.upstreams[0]
         upstream.state = "draining"
-        if not await self._told_of_drain(upstream):
+        if not await self._is_drain_acknowledged(upstream):
             return
         await asyncio.sleep(DRAIN_S)
         before = len(upstream.standin.seen)
@@ -335,33 +346,36 @@
         upstream.born += 1
         upstream.state = "ready"
 
-    async def _told_of_drain(self, upstream):
-        """Return whether some control instance acknowledged a drain."""
+    async def _is_drain_acknowledged(self, upstream):
+        """Return True if a control instance acknowledged a drain."""
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + RECOVER_S
         path = f"/v1/instances/{upstream.name}"
         status = 0
         while status != 200 and loop.time() < ends_s:
-            body = json.dumps(upstream.beat()).encode()
+            body = json.dumps(upstream.next_heartbeat()).encode()
             status, _ = await self.call("PUT", path, body)
         self.check("a drain is acknowledged", status == 200, f"{status}")
         return status == 200
 
-    def _judge(self):
+    def _verify(self):
         runs = Counter(
             request.request_id
             for upstream in self.upstreams
             for request in upstream.standin.runs
         )
         self.checked["what callers received"] += len(self.attempts)
-        self.violations += judge_attempts(self.attempts, runs)
+        self.violations += verify_attempts(self.attempts, runs)
 
 
-class _Always:
-    """Chooses one kind of request, and the only entry there is."""
+class _FixedChoice:
+    """Replaces a random generator: draws one kind of request.
+
+    Of other options, such as the only entry of a probe, it draws the first.
+    """
 
     def __init__(self, kind):
         self._kind = kind
 
-    def choice(self, found):
-        return self._kind if self._kind in found else found[0]
+    def choice(self, options):
+        return self._kind if self._kind in options else options[0]
--- a/benchmarks/soak_resets.py
+++ b/benchmarks/soak_resets.py
@@ -1,35 +1,35 @@
-"""Connections on both sides of entries that are reset in bursts."""
+"""Resets connections on both sides of entries in bursts during a soak."""
 
 import asyncio
 
-from benchmarks.soak_node_faults import NodeFaults
+from benchmarks.soak_node_faults import NodeFaultInjector
 
 RESETS = 8
-"""Resets of one burst."""
+"""Number of resets in a burst."""
 
 LONGEST_GAP_S = 0.15
 
 
-class ResettingFaults(NodeFaults):
-    """The random faults, and bursts of resets.
+class ResettingFaultInjector(NodeFaultInjector):
+    """Injects the random faults and bursts of connection resets.
 
-    Each reset of a burst meets the open connections of one side at another
-    moment of their calls.
+    Each reset of a burst closes the open connections of one upstream or
+    entry, so that the resets hit calls at different stages.
     """
 
     def __init__(self, *, soak):
-        """Begin nothing yet."""
+        """Add the reset bursts to the kinds of faults."""
         super().__init__(soak=soak)
         self._kinds = (*self._kinds, *(self._reset_burst,) * 6)
 
     def _reset_burst(self):
-        self._run(self._reset_again_and_again())
+        self._start_task(self._reset_repeatedly())
         return "reset-burst"
 
-    async def _reset_again_and_again(self):
+    async def _reset_repeatedly(self):
         for _ in range(RESETS):
-            self._chance.choice(self._proxies()).reset_open()
-            await asyncio.sleep(self._chance.uniform(0.0, LONGEST_GAP_S))
+            self._rng.choice(self._proxies()).reset_open()
+            await asyncio.sleep(self._rng.uniform(0.0, LONGEST_GAP_S))
 
     def _proxies(self):
         entries = sorted(self._soak.entry_proxies)
--- /dev/null
+++ b/benchmarks/soak_runs.py
@@ -0,0 +1,62 @@
+"""Runs soaks of entry and control processes by the name of a fault set.
+
+``bin/soak nodes`` and the tests share it.
+"""
+
+import asyncio
+import pathlib
+import shutil
+import tempfile
+from collections import Counter
+
+from benchmarks.soak_crashes import CrashingFaultInjector, CrashingSoak
+from benchmarks.soak_node_faults import NodeFaultInjector
+from benchmarks.soak_nodes import NodeSoak
+from benchmarks.soak_replacements import ReplacingFaultInjector
+from benchmarks.soak_resets import ResettingFaultInjector
+
+SOAKS = {
+    "random": (NodeSoak, NodeFaultInjector),
+    "replacing": (NodeSoak, ReplacingFaultInjector),
+    "resetting": (NodeSoak, ResettingFaultInjector),
+    "crashing": (CrashingSoak, CrashingFaultInjector),
+}
+"""Soak class and fault injector by the name of a fault set."""
+
+
+def run_seed(seed, *, rounds, control=3, entries=3, faults="random"):
+    """Run one soak and return its report.
+
+    Parameters
+    ----------
+    faults : str
+        A key of ``SOAKS``.
+
+    Returns
+    -------
+    dict
+        Printable report: seed, faults, checks and violations, and the folder
+        with the logs if there are violations.
+    """
+    folder = pathlib.Path(tempfile.mkdtemp(prefix=f"currantdeal-soak-{seed}-"))
+    soak_type, fault_injector_type = SOAKS[faults]
+    soak = soak_type(
+        seed=seed,
+        folder=folder,
+        control=control,
+        entries=entries,
+        faults=fault_injector_type,
+    )
+    asyncio.run(soak.run(rounds=rounds))
+    if not soak.violations:
+        shutil.rmtree(folder)
+    received = Counter(f"{a.kind} {a.status}" for a in soak.attempts)
+    return {
+        "seed": seed,
+        "faults": soak.faults,
+        "ended": soak.early_exits,
+        "checked": dict(soak.checked),
+        "received": dict(received),
+        "violations": soak.violations,
+        "logs": str(folder) if soak.violations else "",
+    }
