--- a/benchmarks/stream_cost.py
+++ b/benchmarks/stream_cost.py
@@ -1,9 +1,8 @@
-"""What many slow streams cost one instance.
+"""Measures the cost of many slow streams for one instance.
 
-One instance over local ports serves some streams side by side, each with an
-output every 37 ms, which is the target between outputs.  Measured are the
-instance's processor time for each chunk, its memory, and how late chunks
-reach the caller.
+One instance on local ports serves concurrent streams with an output every
+37 ms, which is the target between outputs.  The instance's processor time per
+chunk, its memory, and the delay of chunks at the caller are measured.
 
 Run ``python -m benchmarks.stream_cost --help`` for its options.
 """
@@ -34,9 +33,9 @@
     Parameters
     ----------
     us_per_chunk : float
-        Processor time of the instance for each chunk, in microseconds.
+        Processor time of the instance per chunk, in microseconds.
     chunks_per_core_s : float
-        Chunks a second that one core would carry at this cost.
+        Chunks a second that one core can process at this cost.
     gap_p95_ms : float
         95th percentile of the time between chunks at the caller.
     rss_mb : float
@@ -57,10 +56,10 @@
 
 
 class Reader:
-    """Reads some streams from one thread and notes when chunks came."""
+    """Reads several streams in one thread and records when chunks arrive."""
 
     def __init__(self, *, address, streams, tokens):
-        """Send the requests."""
+        """Open the connections and send the requests."""
         self._selector = selectors.DefaultSelector()
         self._last_s = {}
         self.gaps_s = []
@@ -85,35 +84,35 @@
         """Read until a time, or until every stream has ended."""
         while self._selector.get_map() and time.monotonic() < until_s:
             for key, _ in self._selector.select(timeout=0.1):
-                self._take(key.fileobj)
+                self._receive(key.fileobj)
 
     def close(self):
-        """Hang up."""
+        """Close all connections."""
         for key in list(self._selector.get_map().values()):
             key.fileobj.close()
         self._selector.close()
 
-    def _take(self, sock):
+    def _receive(self, sock):
         data = sock.recv(65_536)
         if not data:
             self._selector.unregister(sock)
             sock.close()
             return
-        found = data.count(EVENT)
-        if not found:
+        new_chunks = data.count(EVENT)
+        if not new_chunks:
             return
         now_s = time.monotonic()
-        self.chunks += found
+        self.chunks += new_chunks
         if sock in self._last_s:
             self.gaps_s.append(now_s - self._last_s[sock])
         self._last_s[sock] = now_s
 
 
-class Stage:
-    """The instance and its source of chunks, as processes."""
+class Testbed:
+    """The processes of the instance and of its chunk source."""
 
     def __init__(self, *, folder, threads, gap_ms):
-        """Start both and let the source be known."""
+        """Start both and announce the source to the instance."""
         self._source = _start("benchmarks.chunk_source", f"--gap-ms={gap_ms}")
         source = json.loads(self._source.stdout.readline())["address"]
         self.address = f"127.0.0.1:{_free_port()}"
@@ -126,7 +125,7 @@
         self._announce(source)
 
     def close(self):
-        """End both."""
+        """Kill both processes."""
         for child in (self._instance, self._source):
             child.kill()
             child.wait()
@@ -153,37 +152,39 @@
             else:
                 assert answer.status == 200, answer.data
                 return
-        raise RuntimeError("the instance did not start")
+        raise RuntimeError(
+            f"the instance at {self.address} did not accept the announcement"
+        )
 
 
 def measure(*, streams, seconds, gap_ms, threads):
-    """Return the ``StreamCost`` of a number of streams."""
+    """Return the ``StreamCost`` for a number of streams."""
     tokens = int((seconds + 30) * 1000 / gap_ms)
     with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(folder=folder, threads=threads, gap_ms=gap_ms)
+        testbed = Testbed(folder=folder, threads=threads, gap_ms=gap_ms)
         try:
-            idle_mb = stage.process.memory_info().rss / 1e6
+            idle_mb = testbed.process.memory_info().rss / 1e6
             reader = Reader(
-                address=stage.address, streams=streams, tokens=tokens
+                address=testbed.address, streams=streams, tokens=tokens
             )
             reader.read(until_s=time.monotonic() + SETTLE_S + streams / 100)
-            return _measure(stage, reader, streams, seconds, idle_mb)
+            return _measure(testbed, reader, streams, seconds, idle_mb)
         finally:
-            stage.close()
+            testbed.close()
 
 
-def _measure(stage, reader, streams, seconds, idle_mb):
-    before = stage.process.cpu_times()
+def _measure(testbed, reader, streams, seconds, idle_mb):
+    before = testbed.process.cpu_times()
     chunks, gaps = reader.chunks, len(reader.gaps_s)
     started_s = time.monotonic()
     reader.read(until_s=started_s + seconds)
     wall_s = time.monotonic() - started_s
-    after = stage.process.cpu_times()
+    after = testbed.process.cpu_times()
     cpu_s = after.user + after.system - before.user - before.system
-    rss_mb = stage.process.memory_info().rss / 1e6
+    rss_mb = testbed.process.memory_info().rss / 1e6
     reader.close()
     chunks = reader.chunks - chunks
-    found = sorted(reader.gaps_s[gaps:])
+    sorted_gaps = sorted(reader.gaps_s[gaps:])
     return StreamCost(
         streams=streams,
         chunks=chunks,
@@ -191,16 +192,16 @@
         cpu_share=round(cpu_s / wall_s, 3),
         us_per_chunk=round(cpu_s / chunks * 1e6, 1),
         chunks_per_core_s=round(chunks / cpu_s),
-        gap_p50_ms=_quantile_ms(found, 0.50),
-        gap_p95_ms=_quantile_ms(found, 0.95),
-        gap_p99_ms=_quantile_ms(found, 0.99),
+        gap_p50_ms=_quantile_ms(sorted_gaps, 0.50),
+        gap_p95_ms=_quantile_ms(sorted_gaps, 0.95),
+        gap_p99_ms=_quantile_ms(sorted_gaps, 0.99),
         rss_mb=round(rss_mb, 1),
         idle_rss_mb=round(idle_mb, 1),
     )
 
 
-def _quantile_ms(found, share):
-    return round(found[int(share * (len(found) - 1))] * 1000, 1)
+def _quantile_ms(ordered, share):
+    return round(ordered[int(share * (len(ordered) - 1))] * 1000, 1)
 
 
 def _start(module, *arguments):
@@ -234,7 +235,7 @@
 @click.option("--gap-ms", default=37.0, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def main(streams, seconds, gap_ms, as_json):
-    """Measure the cost of streams at several numbers of them."""
+    """Measure the cost of several numbers of streams."""
     results = []
     for count in streams:
         click.echo(f"{count} streams ...", err=True)
--- a/benchmarks/tests/test_decisions_under_load.py
+++ b/benchmarks/tests/test_decisions_under_load.py
@@ -1,8 +1,7 @@
-"""Decisions under load, judged by what callers receive.
+"""Tests of the policy's decisions under load by what callers receive.
 
-Each run follows one seed, so it gives the same figures every time.  Bounds
-leave room for the scatter that other seeds showed, but for those that are
-targets of their own.
+Each run uses one seed, so its figures are reproducible.  Bounds that are not
+targets themselves leave a margin for the variation between seeds.
 """
 
 from functools import cache
@@ -32,95 +31,103 @@
     return run(steady(user, load, measured_s=30.0), router, seed=SEED)
 
 
-def _assert_kept(found):
-    assert found.wasted_prefill < MAX_WASTE
-    assert found.violations == 0
+def _assert_kept(measures):
+    assert measures.wasted_prefill < MAX_WASTE
+    assert measures.violations == 0
 
 
 @USERS
 @pytest.mark.parametrize("load", [1.5, 3.0])
 def test_overload_costs_no_goodput(user, load):
-    """More requests come than the engines can carry, for a long time.
+    """Guards against congestion collapse under sustained overload.
 
-    Without early refusals and reservations everything becomes late: callers
-    wait in vain while the engines are busy with work that is thrown away.
+    Without early refusals and reservations all answers become late: callers
+    time out while the engines compute work that is discarded.
     """
-    found = _at(user, load)
-    assert found.good_per_s >= 0.9 * _at(user, 1.0).good_per_s
-    assert found.late < 0.01
-    _assert_kept(found)
+    measures = _at(user, load)
+    assert measures.good_per_s >= 0.9 * _at(user, 1.0).good_per_s
+    assert measures.late < 0.01
+    _assert_kept(measures)
 
 
 @USERS
-def test_plain_router_breaks_down_under_the_same_overload(user):
-    """Requests go to random engines and are retried on error.
+def test_plain_router_collapses_under_the_same_overload(user):
+    """Verifies that the overload of the other tests is severe enough.
 
-    Callers get hardly an answer in time; were it otherwise, the overload of
-    the other tests would prove nothing.
+    The plain router sends requests to random engines and retries on error.
+    Few of its answers are in time; otherwise the other tests would prove
+    nothing.
     """
-    found = _at(user, 3.0, Baseline)
-    assert found.good_per_s < 0.5 * _at(user, 1.0).good_per_s
+    measures = _at(user, 3.0, Baseline)
+    assert measures.good_per_s < 0.5 * _at(user, 1.0).good_per_s
 
 
 @USERS
-def test_burst_is_over_when_it_is_over(user):
-    """Four times the capacity arrives for five seconds.
+def test_burst_has_no_effect_on_later_callers(user):
+    """Guards against a standing queue after a burst.
 
-    Without refusals the queue that it leaves makes later callers wait too.
+    Four times the capacity arrives for five seconds.  Without refusals, the
+    backlog of the burst delays later callers too.
     """
-    found = measure_burst(user, Current, SEED)
-    assert found.details["goodput_after"] >= 0.95
-    assert found.late < 0.01
-    _assert_kept(found)
+    measures = measure_burst(user, Current, SEED)
+    assert measures.details["goodput_after"] >= 0.95
+    assert measures.late < 0.01
+    _assert_kept(measures)
 
 
 @USERS
-def test_polite_callers_beside_a_hot_one_lose_nothing(user):
-    """One caller sends twice what all engines can carry.
+def test_noisy_neighbour_takes_no_goodput_from_other_callers(user):
+    """Guards against unfair refusals beside a noisy neighbour.
 
-    First come, first served, the others would be refused for its sake.
+    One caller sends twice the capacity of all engines.  If requests were
+    served first come, first served, the other callers would be refused.
     """
-    found = measure_hot(user, Current, SEED)
-    assert found.details["polite_kept"] >= 0.95
-    _assert_kept(found)
+    measures = measure_hot(user, Current, SEED)
+    assert measures.details["polite_kept"] >= 0.95
+    _assert_kept(measures)
 
 
 @USERS
 def test_hot_prefix_is_computed_once_and_spread(user):
-    """Most prompts begin with one long catalogue.
+    """Guards against lost cache hits and hot spots with a shared prefix.
 
-    Computed anew for each request it takes more prefill than there is; sent
-    to one engine only, that engine is overloaded.
+    Most prompts begin with one long catalogue.  Computing it for each request
+    exceeds the prefill capacity; sending all of them to one engine overloads
+    that engine.
     """
-    found = measure_prefix(user, Current, SEED)
-    assert found.goodput >= 0.97
-    _assert_kept(found)
+    measures = measure_prefix(user, Current, SEED)
+    assert measures.goodput >= 0.97
+    _assert_kept(measures)
 
 
 @USERS
-def test_slow_engine_is_found_and_gets_less(user):
-    """A decode engine gets four times slower and reports no error.
+def test_slow_engine_is_detected_and_receives_less_work(user):
+    """Guards against routing streams to a slow engine (a gray failure).
 
-    Every stream that is sent there misses the target between its outputs.
+    A decode engine becomes four times slower without reporting errors.  Every
+    stream on it misses the latency target between outputs.
     """
-    found = measure_slow(user, Current, SEED)
-    assert found.details["goodput_once_found"] >= 0.93
-    _assert_kept(found)
+    measures = measure_slow(user, Current, SEED)
+    assert measures.details["goodput_once_found"] >= 0.93
+    _assert_kept(measures)
 
 
 @USERS
-def test_long_jobs_and_short_ones_both_get_through(user):
-    """One request in ten has a prompt of some ten thousand tokens.
+def test_long_and_short_requests_do_not_starve_each_other(user):
+    """Guards against head-of-line blocking and starvation of long requests.
 
-    Short ones wait behind it, or take every piece of memory before it finds
-    enough.  A good part of the long ones cannot be in time even alone.
+    One request in ten has a prompt of some ten thousand tokens.  Short ones
+    may queue behind it, or take every free piece of memory before it gets
+    enough.  Many long requests cannot be in time even on idle engines.
     """
-    found = measure_mix(user, Current, SEED)
+    measures = measure_mix(user, Current, SEED)
     plain = measure_mix(user, Baseline, SEED)
-    assert found.details["goodput_short"] >= 0.95
-    assert found.details["goodput_long"] >= 4 * plain.details["goodput_long"]
-    assert found.late < 0.01
-    _assert_kept(found)
+    assert measures.details["goodput_short"] >= 0.95
+    assert (
+        measures.details["goodput_long"] >= 4 * plain.details["goodput_long"]
+    )
+    assert measures.late < 0.01
+    _assert_kept(measures)
 
 
 def test_same_seed_gives_the_same_result():
--- a/benchmarks/tests/test_main.py
+++ b/benchmarks/tests/test_main.py
@@ -2,7 +2,7 @@
 
 from click.testing import CliRunner
 
-from benchmarks.main import load, main, names
+from benchmarks.main import experiment_names, load_experiment, main
 
 FIGURES = {
     "goodput",
@@ -16,15 +16,17 @@
 
 
 def test_every_experiment_is_listed_with_a_summary():
-    found = CliRunner().invoke(main, ["--list"])
-    assert found.exit_code == 0
-    assert len(found.output.splitlines()) == len(names())
-    assert all(callable(load(name).run) for name in names())
+    result = CliRunner().invoke(main, ["--list"])
+    assert result.exit_code == 0
+    assert len(result.output.splitlines()) == len(experiment_names())
+    assert all(
+        callable(load_experiment(name).run) for name in experiment_names()
+    )
 
 
 def test_json_has_both_users_and_both_routers():
-    found = CliRunner().invoke(main, ["slow-upstream", "--json"])
-    report = json.loads(found.output)
+    result = CliRunner().invoke(main, ["slow-upstream", "--json"])
+    report = json.loads(result.output)
     assert (report["experiment"], report["seed"]) == ("slow-upstream", 1)
     for user in ("nube", "ekundayo"):
         for router in ("baseline", "current"):
--- a/packaging/program_main.py
+++ b/packaging/program_main.py
@@ -1,9 +1,9 @@
-"""Entry of the one-file program; becomes ``__main__`` of the archive.
+"""Entry point of the single-file program, the archive's ``__main__``.
 
-Compiled libraries cannot be loaded from within an archive, so it unpacks
-itself once.  The folder is the one that CURRANTDEAL_UNPACK_FOLDER names, or
-``.currantdeal`` beside the file: never the home folder, which a service's
-user may lack.
+Compiled libraries cannot be loaded from within an archive, so the program
+unpacks itself once.  It uses the folder in CURRANTDEAL_UNPACK_FOLDER, or
+``.currantdeal`` next to the file.  It never uses the home folder, since the
+user of a service may not have one.
 """
 
 import os
@@ -15,7 +15,7 @@
 
 
 def start():
-    """Unpack if needed, and run the command line."""
+    """Unpack the archive if needed and run the command line."""
     beside = Path(sys.argv[0]).resolve().parent / FOLDER_NAME
     folder = os.environ.get(FOLDER_VARIABLE) or str(beside)
     os.environ["SHIV_ROOT"] = folder
--- a/packaging/seal.py
+++ b/packaging/seal.py
@@ -1,5 +1,6 @@
-"""Puts the program's own entry into an archive that shiv has built.
+"""Replaces the entry point of an archive that shiv has built.
 
+The new entry point is ``program_main.py``.
 Usage: ``python packaging/seal.py ARCHIVE PROGRAM``.
 """
 
@@ -13,12 +14,12 @@
 
 
 def seal(archive, program):
-    """Write a program from an archive, with its own ``__main__``.
+    """Write the program: the archive with the program's own ``__main__``.
 
     Parameters
     ----------
     archive, program : Path
-        What shiv built, and the file to write.
+        Archive that shiv has built, and the file to write.
     """
     entry = Path(__file__).with_name("program_main.py").read_text()
     with program.open("wb") as raw:
