--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -12,12 +12,12 @@
     FairQueue,
     Ledger,
     LedgerGrant,
+    OutlierDetector,
     OutputLengths,
     Placement,
     PrefixHints,
     Scheduler,
-    SlowUpstreams,
-    Waiters,
+    WaitQueue,
 )
 
 
@@ -44,14 +44,16 @@
     load of an engine.
     """
 
-    def reserve(self, ask, *, now_s):
-        return LedgerGrant(ask=ask, pieces=0, start_in_s=0.0, ends_s=now_s)
+    def reserve(self, request, *, now_s):
+        return LedgerGrant(
+            request=request, pieces=0, start_in_s=0.0, ends_s=now_s
+        )
 
     def grow(self, request_id, *, pieces):
         return True
 
 
-class _AlwaysNext(Waiters):
+class _AlwaysNext(WaitQueue):
     def is_next(self, request_id, caller, *, now_s):
         return True
 
@@ -59,11 +61,11 @@
 class _NoWaiters(Ledger):
     def __init__(self, *, limits):
         super().__init__(limits=limits)
-        self._waiters = _AlwaysNext()
+        self._wait_queue = _AlwaysNext()
 
 
 class _NoBatchLimit(Ledger):
-    def hear(self, *, running, step_s):
+    def record_report(self, *, running, step_s):
         pass
 
 
@@ -73,17 +75,17 @@
 
 
 class _NoHints(PrefixHints):
-    def learn(self, upstream_id, prefix_keys, *, now_s):
+    def record(self, upstream_id, prefix_keys, *, now_s):
         pass
 
 
 class _NonExpiringHints(PrefixHints):
-    def _belief(self, seen_s, now_s):
+    def _confidence(self, seen_s, now_s):
         return 1.0
 
 
-class _NeverSlow(SlowUpstreams):
-    def is_out(self, group, upstream_id, *, now_s):
+class _NeverSlow(OutlierDetector):
+    def is_ejected(self, group, upstream_id, *, now_s):
         return False
 
 
@@ -101,7 +103,7 @@
 
 
 def _placement(rng):
-    return _AnyEngine(rng=rng, hints=PrefixHints(), slow=SlowUpstreams())
+    return _AnyEngine(rng=rng, hints=PrefixHints(), outliers=OutlierDetector())
 
 
 ABLATIONS = {
@@ -114,6 +116,6 @@
     "no-lengths": _with_parts(lengths=lambda rng: _MaximumLength()),
     "no-prefix-hints": _with_parts(hints=lambda rng: _NoHints()),
     "ageless-hints": _with_parts(hints=lambda rng: _NonExpiringHints()),
-    "no-outliers": _with_parts(slow=lambda rng: _NeverSlow()),
+    "no-outliers": _with_parts(outliers=lambda rng: _NeverSlow()),
     "no-placement": _with_parts(placement=_placement),
 }
--- a/benchmarks/current.py
+++ b/benchmarks/current.py
@@ -99,7 +99,7 @@
         for name, engine in self._engines.items():
             report = engine.report()
             self._reports[name] = report
-            self._ledgers[name].hear(
+            self._ledgers[name].record_report(
                 running=report.running, step_s=report.step_s
             )
         self._loop.after(REPORT_S, self._report)
@@ -125,7 +125,7 @@
         )
 
     def receive(self, request):
-        self._budget.record_try()
+        self._budget.record_first_attempt()
         self._submit(request)
 
     def _submit(self, request):
@@ -158,26 +158,26 @@
         decode = plan.choice.decode.upstream_id
         prefill = plan.choice.prefill.upstream_id
         memory_grant = self._ledgers[decode].reserve(
-            plan.decode_ask, now_s=now_s
+            plan.decode_request, now_s=now_s
         )
         if isinstance(memory_grant, LedgerRefusal):
             self._blocked(plan, decode, memory_grant)
             return
         prefill_grant = self._ledgers[prefill].reserve(
-            plan.prefill_ask, now_s=now_s
+            plan.prefill_request, now_s=now_s
         )
         if isinstance(prefill_grant, LedgerRefusal):
             self._ledgers[decode].release(plan.work.request_id)
             self._blocked(plan, prefill, prefill_grant)
             return
-        self.scheduler.reserved(plan, now_s=now_s)
+        self.scheduler.record_reserved(plan, now_s=now_s)
         request = self._requests.pop(plan.work.request_id)
         self._loop.after(
             prefill_grant.start_in_s, self._start, request, plan, now_s
         )
 
     def _blocked(self, plan, upstream_id, refusal):
-        self.scheduler.blocked(
+        self.scheduler.record_refusal(
             plan,
             upstream_id,
             retry_after_s=refusal.retry_after_s,
@@ -227,18 +227,18 @@
         now_s = entry._loop.now_s
         name = source.upstream.upstream_id
         computed = request.computed_tokens - self._computed_before
-        entry.scheduler.prefilled(
+        entry.scheduler.record_prefill(
             request.work,
             name,
             cached_tokens=request.work.prompt_tokens - computed,
-            taken_s=now_s - self._began_s,
+            duration_s=now_s - self._began_s,
             now_s=now_s,
         )
         entry._ledgers[name].release(request.work.request_id)
         ledger = entry._ledgers[target.upstream.upstream_id]
         stream = Stream(
             request=request,
-            pieces=self._plan.decode_ask.pieces,
+            pieces=self._plan.decode_request.pieces,
             grow=lambda: self._grow(ledger, target),
             on_end=lambda whole: self._on_end(whole),
         )
@@ -295,13 +295,15 @@
         request.done = True
         request.useful_tokens = request.computed_tokens - self._computed_before
         now_s = entry._loop.now_s
-        path_s = request.first_s - self._planned_s
-        entry.scheduler.first_output(request.work, path_s=path_s)
-        entry.scheduler.finished(
+        first_output_s = request.first_s - self._planned_s
+        entry.scheduler.record_first_output(
+            request.work, first_output_s=first_output_s
+        )
+        entry.scheduler.record_output(
             request.work,
             self._plan.choice.decode.upstream_id,
             tokens=request.tokens,
-            between_s=itl_s(request),
+            output_gap_s=itl_s(request),
             now_s=now_s,
         )
         entry._poll()
--- a/benchmarks/experiments/decision_cost.py
+++ b/benchmarks/experiments/decision_cost.py
@@ -102,7 +102,7 @@
         scheduler.submit(work, now_s=now_s)
         for message in scheduler.poll(now_s=now_s):
             if isinstance(message, Plan):
-                scheduler.reserved(message, now_s=now_s)
+                scheduler.record_reserved(message, now_s=now_s)
     return (time.process_time() - began) / PER_ROUND
 
 
--- a/currantdeal/adapters/http/app.py
+++ b/currantdeal/adapters/http/app.py
@@ -15,7 +15,7 @@
 )
 from currantdeal.adapters.settings import KeyKind
 from currantdeal.core import Outcome
-from currantdeal.serving.errors import CallerGoneError, RefusedError
+from currantdeal.serving.errors import CallerDisconnectedError, RefusedError
 
 CLIENT_CLOSED_STATUS = 400
 
@@ -145,7 +145,7 @@
                 outcome=exc.outcome.value,
             )
             return refusal_response(exc)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._metrics.add("callers_gone_total")
             return problem_response(
                 problem(
@@ -187,7 +187,9 @@
             groups=groups,
             body=self._read_body(environ),
             key=key,
-            gone=environ.get("waitress.client_disconnected", _never),
+            is_disconnected=environ.get(
+                "waitress.client_disconnected", _never
+            ),
         )
         return route.handler(request)
 
--- a/currantdeal/adapters/http/generation.py
+++ b/currantdeal/adapters/http/generation.py
@@ -11,7 +11,7 @@
 from currantdeal.adapters.http.problems import problem_of_refusal
 from currantdeal.adapters.settings import KeyKind
 from currantdeal.core import WorkKind, prefix_keys
-from currantdeal.serving.errors import CallerGoneError, RefusedError
+from currantdeal.serving.errors import CallerDisconnectedError, RefusedError
 from currantdeal.serving.prompts import estimate_tokens
 from currantdeal.serving.requests import GenerationRequest
 
@@ -98,7 +98,7 @@
             prefix_keys=prefix_keys(prompt),
         )
         generation_request = GenerationRequest(
-            work=work, prompt=prompt, gone=request.gone
+            work=work, prompt=prompt, is_disconnected=request.is_disconnected
         )
         answer_format = AnswerFormat(
             answer_id=f"{_ID_PREFIX[kind]}-{work.request_id}",
@@ -178,7 +178,7 @@
             # report the failure.  This event reports it, and no end marker
             # follows.
             yield event_of(problem_of_refusal(exc))
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
 
     def close(self):
--- a/currantdeal/adapters/http/messages.py
+++ b/currantdeal/adapters/http/messages.py
@@ -27,7 +27,7 @@
         Named groups of the route's pattern, found in the path.
     key : KeySettings or None
         The presented key; None if the settings have no keys.
-    gone : callable
+    is_disconnected : callable
         Returns True once the client has disconnected.
     """
 
@@ -38,7 +38,7 @@
     groups: dict
     body: bytes
     key: KeySettings | None
-    gone: Callable[[], bool]
+    is_disconnected: Callable[[], bool]
 
     def header(self, name, default=""):
         """Return a header's value."""
--- a/currantdeal/adapters/http/services.py
+++ b/currantdeal/adapters/http/services.py
@@ -63,7 +63,7 @@
                 body=request.body,
             ),
             key=idempotency_key_of(request),
-            gone=request.gone,
+            is_disconnected=request.is_disconnected,
         )
         end = self._in_flight.begin()
         try:
--- a/currantdeal/cli/account.py
+++ b/currantdeal/cli/account.py
@@ -45,7 +45,7 @@
     def __init__(self, *, span_s):
         """Start with no requests."""
         self._span_s = span_s
-        self._longest_patience_s = Counter()
+        self._longest_caller_timeout_s = Counter()
         self._requests = Counter()
         self._lost = Counter()
         self._by_cause = Counter()
@@ -58,9 +58,11 @@
 
     def add(self, end):
         """Add the end of one request."""
-        longest_s = max(self._longest_patience_s[end.route], end.patience_s)
-        self._longest_patience_s[end.route] = longest_s
-        cause = find_cause(end, longest_patience_s=longest_s)
+        longest_s = max(
+            self._longest_caller_timeout_s[end.route], end.caller_timeout_s
+        )
+        self._longest_caller_timeout_s[end.route] = longest_s
+        cause = find_cause(end, longest_caller_timeout_s=longest_s)
         self._requests[end.kind] += 1
         self._by_cause[end.kind, cause] += 1
         if cause in NOT_LOST:
--- a/currantdeal/cli/causes.py
+++ b/currantdeal/cli/causes.py
@@ -8,19 +8,19 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from currantdeal.entry.steps import StepKind, read_step
+from currantdeal.entry.steps import StepKind, parse_step
 
 LONG_WAIT_SHARE = 0.3
 """Share of the target from which on the wait for one step is a cause."""
 
-RETRY_PATIENCE_SHARE = 0.8
-"""Share of the route's longest patience below which a caller is retrying.
+RETRY_TIMEOUT_SHARE = 0.8
+"""Share of the route's longest timeout below which a caller is retrying.
 
-A retrying caller has spent the rest of its patience on an earlier attempt.
+A retrying caller has spent the rest of its timeout on an earlier attempt.
 """
 
 PREEMPTION_PAUSE_RATIO = 3.0
-"""Multiple of the pause target above which a pause is a preemption.
+"""Multiple of the gap target above which a pause is a preemption.
 
 The prompt of another request, read between two events, makes a shorter pause.
 """
@@ -55,7 +55,7 @@
 
 _CAUSE_OF_WAIT = {
     StepKind.MEMORY: Cause.MEMORY,
-    StepKind.PROMPT: Cause.PROMPT,
+    StepKind.PREFILL: Cause.PROMPT,
     StepKind.STREAM: Cause.FIRST_EVENT,
 } | dict.fromkeys(_FAILURE_STEPS, Cause.ENGINE_SILENT)
 """Cause of a long wait, by the kind of the step that ended it."""
@@ -73,7 +73,7 @@
         Time to the first output; None if there was none.
     pause_s : float
         Longest pause between two outputs.
-    patience_s : float
+    caller_timeout_s : float
         Time for which the caller would have waited for the answer.
     """
 
@@ -85,8 +85,8 @@
     first_s: float | None
     pause_s: float
     target_s: float
-    pause_target_s: float
-    patience_s: float
+    gap_target_s: float
+    caller_timeout_s: float
     prompt_tokens: int
     steps: tuple
 
@@ -101,7 +101,7 @@
         first_s = self.took_s if self.first_s is None else self.first_s
         if first_s > self.target_s:
             return True
-        return bool(self.pause_target_s) and self.pause_s > self.pause_target_s
+        return bool(self.gap_target_s) and self.pause_s > self.gap_target_s
 
 
 def parse_request_end(line):
@@ -109,7 +109,7 @@
     fields = line.fields
     if line.event != "request-ended" or "target" not in fields:
         return None
-    steps = (read_step(text) for text in fields["steps"])
+    steps = (parse_step(text) for text in fields["steps"])
     return RequestEnd(
         at=line.at,
         route=fields["route"],
@@ -119,22 +119,24 @@
         first_s=fields["first"],
         pause_s=fields["longest_pause"],
         target_s=fields["target"],
-        pause_target_s=fields["pause_target"],
-        patience_s=fields["patience"] or 0.0,
+        gap_target_s=fields["pause_target"],
+        caller_timeout_s=fields["patience"] or 0.0,
         prompt_tokens=fields["prompt_tokens"],
         steps=tuple(step for step in steps if step is not None),
     )
 
 
-def find_cause(end, *, longest_patience_s):
+def find_cause(end, *, longest_caller_timeout_s):
     """Return the ``Cause`` of a request's loss; ``Cause.NONE`` without one.
 
     Parameters
     ----------
-    longest_patience_s : float
-        Longest patience of the callers of this route, in seconds.
+    longest_caller_timeout_s : float
+        Longest timeout of the callers of this route, in seconds.
     """
-    retrying = end.patience_s < RETRY_PATIENCE_SHARE * longest_patience_s
+    retrying = (
+        end.caller_timeout_s < RETRY_TIMEOUT_SHARE * longest_caller_timeout_s
+    )
     if end.outcome == "cancelled":
         return Cause.LEFT
     if end.is_answered and retrying:
@@ -161,7 +163,7 @@
     kinds = {step.kind for step in end.steps}
     if kinds.intersection(_FAILURE_STEPS) or not end.is_answered:
         return Cause.ENGINE_LOST
-    if end.pause_s > PREEMPTION_PAUSE_RATIO * end.pause_target_s:
+    if end.pause_s > PREEMPTION_PAUSE_RATIO * end.gap_target_s:
         return Cause.PREEMPTED
     return Cause.PAUSE
 
--- a/currantdeal/cli/daemon.py
+++ b/currantdeal/cli/daemon.py
@@ -119,7 +119,7 @@
         """Start the runners, then the drain, then serve callers."""
         for runner in self._ports.runners:
             runner.start()
-        self._serving.hangups.start()
+        self._serving.disconnects.start()
         self._drain.start()
         self._http.start()
         if self._keys.is_open:
@@ -140,7 +140,7 @@
     def stop(self):
         """Stop all parts at once; ``request_stop`` stops gracefully."""
         self._drain.stop()
-        self._serving.hangups.stop()
+        self._serving.disconnects.stop()
         self._http.stop()
         for runner in reversed(self._ports.runners):
             try:
--- a/currantdeal/cli/entry_process.py
+++ b/currantdeal/cli/entry_process.py
@@ -93,13 +93,15 @@
             seeds=lambda: self._file.current.control_peers,
             take_demand=self._context.take_demand,
             report_load=self._context.report_load,
-            take_load=self._context.take_load,
-            take_reading=self._context.take_reading,
-            crashes=self._context.crashes,
+            update_load=self._context.update_load,
+            record_local_prefill=self._context.record_local_prefill,
+            crash_watch=self._context.crash_watch,
             clock=time.monotonic,
         )
-        self._context.tell_reading = self._subscription.tell_reading
-        self._context.crashes.tell = self._subscription.tell_crashes
+        self._context.announce_local_prefill = (
+            self._subscription.announce_local_prefill
+        )
+        self._context.crash_watch.publish = self._subscription.publish_crashes
         self._server = HttpServer(
             handler=self._service.handle,
             limits=lambda: self._view.limits,
@@ -130,7 +132,7 @@
             asyncio.ensure_future(self._subscription.run()),
             asyncio.ensure_future(
                 call_periodically(
-                    LOAD_INTERVAL_S, self._subscription.tell_load
+                    LOAD_INTERVAL_S, self._subscription.send_load
                 )
             ),
             asyncio.ensure_future(self._file.watch()),
@@ -146,7 +148,7 @@
 
     @property
     def _is_ready(self):
-        return self._ready and self._view.table is not None
+        return self._ready and self._view.route_table is not None
 
     def _own_record(self):
         settings = self._file.current
@@ -189,12 +191,12 @@
         self._metrics.set("requests_in_progress", self._server.busy)
         self._metrics.set("entries", view.entries)
         self._metrics.set(
-            "quarantined_requests", len(self._context.crashes.quarantined)
+            "quarantined_requests", len(self._context.crash_watch.quarantined)
         )
         for name, left in self._context.budgets_left().items():
             self._metrics.set("retry_budget_left", left, service=name)
-        table = view.table
-        for service in table.services if table is not None else ():
+        route_table = view.route_table
+        for service in route_table.services if route_table is not None else ():
             self._metrics.set(
                 "upstreams",
                 len(view.ready(service.name)),
--- a/currantdeal/cli/serving.py
+++ b/currantdeal/cli/serving.py
@@ -6,16 +6,16 @@
 import pykka
 
 from currantdeal.serving.calls import CallService
-from currantdeal.serving.claims import ClaimBook
+from currantdeal.serving.claims import ClaimManager
 from currantdeal.serving.cleanup import Cleaner
+from currantdeal.serving.context import ServingContext
 from currantdeal.serving.crash_guard import CrashGuard
 from currantdeal.serving.decisions import Decisions
+from currantdeal.serving.disconnects import DisconnectMonitor
 from currantdeal.serving.generation import GenerationService
-from currantdeal.serving.hangups import HangUpMonitor
+from currantdeal.serving.idle_timeouts import IdleTimeouts
 from currantdeal.serving.inflight import InFlight
-from currantdeal.serving.parts import ServingParts
 from currantdeal.serving.reservations import Reserver
-from currantdeal.serving.silence import SilenceLimits
 from currantdeal.serving.view import ServingView
 
 
@@ -30,7 +30,7 @@
     generation: GenerationService
     calls: CallService
     cleaner: Cleaner
-    hangups: HangUpMonitor
+    disconnects: DisconnectMonitor
     in_flight: InFlight
     decisions: pykka.ActorProxy
 
@@ -53,31 +53,31 @@
     limit : int
         Number of requests that are served concurrently.
     """
-    parts = _build_parts(settings, ports, engines, clock, metrics)
-    claims = ClaimBook(
+    context = _build_context(settings, ports, engines, clock, metrics)
+    claims = ClaimManager(
         state=ports.state, instance=settings.instance, clock=clock
     )
     calls = CallService(
         services=services,
         claims=claims,
-        view=parts.view,
-        decisions=parts.decisions,
-        crashes=parts.crashes,
+        view=context.view,
+        decisions=context.decisions,
+        crashes=context.crashes,
         clock=clock,
         metrics=metrics,
     )
     return Serving(
-        view=parts.view,
-        generation=GenerationService(parts=parts),
+        view=context.view,
+        generation=GenerationService(context=context),
         calls=calls,
-        cleaner=parts.cleaner,
-        hangups=parts.hangups,
+        cleaner=context.cleaner,
+        disconnects=context.disconnects,
         in_flight=InFlight(limit=limit),
-        decisions=parts.decisions,
+        decisions=context.decisions,
     )
 
 
-def _build_parts(settings, ports, engines, clock, metrics):
+def _build_context(settings, ports, engines, clock, metrics):
     view = ServingView(state=ports.state)
     cleaner = Cleaner(
         engines=engines, homes=ports.homes, clock=clock, metrics=metrics
@@ -91,17 +91,17 @@
         cleaner=cleaner,
         clock=clock,
     )
-    return ServingParts(
+    return ServingContext(
         engines=engines,
         homes=ports.homes,
         clock=clock,
         metrics=metrics,
         cleaner=cleaner,
-        silence=SilenceLimits(longest_s=settings.timing.stream_silence_s),
+        idle_timeouts=IdleTimeouts(max_s=settings.timing.stream_silence_s),
         decisions=decisions,
         reserver=reserver,
         view=view,
-        hangups=HangUpMonitor(cleaner=cleaner),
+        disconnects=DisconnectMonitor(cleaner=cleaner),
         crashes=CrashGuard(),
     )
 
--- a/currantdeal/control/crash_ledger.py
+++ b/currantdeal/control/crash_ledger.py
@@ -1,8 +1,8 @@
 """Replicates the records of crashing requests between control instances.
 
-Load pattern: query of death, see ``currantdeal.policy.crash_book``.  Callers
-may retry such a request at any entry, so all entries must have its record
-within seconds, also without a leader, during network partitions between
+Load pattern: query of death, see ``currantdeal.policy.crash_registry``.
+Callers may retry such a request at any entry, so all entries must have its
+record within seconds, also without a leader, during network partitions between
 control instances, and after a control instance has lost its disk.  Records
 can be merged in any order, so they need no leader: changes are forwarded at
 once, and an entry or instance that connects, or that is reachable again after
@@ -14,7 +14,7 @@
 from currantdeal.node.messages import CrashesNotice
 from currantdeal.node.peers import HEARTBEAT_S
 from currantdeal.node.suspect_log import SuspectLog
-from currantdeal.policy.crash_book import CrashBook
+from currantdeal.policy.crash_registry import CrashRegistry
 
 SILENCE_TIMEOUT_S = 3 * HEARTBEAT_S
 """Silence of an instance after which it may have missed changes."""
@@ -48,19 +48,21 @@
         self._exchange = exchange
         self._clock = clock
         self._on_change = on_change
-        self._book = CrashBook()
-        self._suspect_log = SuspectLog(log=_log, book=self._book)
+        self._crash_registry = CrashRegistry()
+        self._suspect_log = SuspectLog(
+            log=_log, crash_registry=self._crash_registry
+        )
         self._recent = {}
         self._last_heartbeat_s = {}
 
     @property
     def quarantined(self):
         """Fingerprints of the requests that must not be run."""
-        return self._book.quarantined
+        return self._crash_registry.quarantined
 
     def load(self, records):
         """Merge the records that were saved before a restart."""
-        self._suspect_log.note(self._book.merge(records))
+        self._suspect_log.note(self._crash_registry.merge(records))
 
     def receive(self, notice):
         """Merge the records of an entry or another instance and forward them.
@@ -69,9 +71,9 @@
         partial partition not every instance can reach every other one.
         """
         if notice.asked_by:
-            all_records = CrashesNotice(records=self._book.records)
+            all_records = CrashesNotice(records=self._crash_registry.records)
             self._exchange.notify_one(notice.asked_by, all_records)
-        changed = self._book.merge(notice.records)
+        changed = self._crash_registry.merge(notice.records)
         if not changed:
             return
         self._suspect_log.note(changed)
@@ -81,12 +83,14 @@
         update = CrashesNotice(records=changed)
         self._exchange.publish(update)
         self._exchange.notify_others(update)
-        self._on_change(self._book.records)
+        self._on_change(self._crash_registry.records)
 
     def send_all(self, connection):
         """Send all records to an entry that has subscribed."""
-        if self._book:
-            connection.notify(CrashesNotice(records=self._book.records))
+        if self._crash_registry:
+            connection.notify(
+                CrashesNotice(records=self._crash_registry.records)
+            )
 
     def on_heartbeat(self, sender):
         """Record a heartbeat of another instance.
@@ -100,7 +104,8 @@
         self._last_heartbeat_s[sender] = now_s
         if previous_s is None or now_s - previous_s > SILENCE_TIMEOUT_S:
             notice = CrashesNotice(
-                records=self._book.records, asked_by=self._exchange.me
+                records=self._crash_registry.records,
+                asked_by=self._exchange.me,
             )
             self._exchange.notify_one(sender, notice)
 
--- a/currantdeal/control/crash_store.py
+++ b/currantdeal/control/crash_store.py
@@ -8,7 +8,7 @@
 
 from currantdeal.adapters.disk import DiskError
 from currantdeal.core import Codec, CodecError
-from currantdeal.policy.crash_book import SuspectRecord
+from currantdeal.policy.crash_registry import SuspectRecord
 
 RETRY_S = 1.0
 """Pause before a failed write is retried."""
--- a/currantdeal/control/directory.py
+++ b/currantdeal/control/directory.py
@@ -51,7 +51,7 @@
     def merge(self, record, *, now_s):
         """Merge a heartbeat; returns whether the entry is new or changed."""
         known = self._records.get(record.instance)
-        if known is not None and record.order <= known.order:
+        if known is not None and record.sort_key <= known.sort_key:
             return False
         self._records[record.instance] = record
         self._last_heartbeat_s[record.instance] = now_s
--- a/currantdeal/control/exchange.py
+++ b/currantdeal/control/exchange.py
@@ -151,7 +151,7 @@
         self._data_centers[notice.sender] = notice.data_center
         self._fetch_unknown(notice)
         for renewal in notice.upstreams:
-            self.registry.heard(
+            self.registry.on_heartbeat(
                 renewal.name, renewal.started_ms, renewal.sequence, now_s=now_s
             )
         for renewal in notice.entries:
--- a/currantdeal/control/orders.py
+++ b/currantdeal/control/orders.py
@@ -18,7 +18,7 @@
 from currantdeal.node.dialect import StageOrder
 from currantdeal.node.errors import ExchangeError
 from currantdeal.policy.stage_plan import (
-    CHANGE_PAUSE_S,
+    CHANGE_INTERVAL_S,
     lacks_stage,
     plan_stages,
 )
@@ -165,8 +165,8 @@
                 for record in present.values()
                 if record.service == service
             ]
-            last_s = self._last_order_s.get(service, -CHANGE_PAUSE_S)
-            if lacks_stage(engines) or now_s - last_s >= CHANGE_PAUSE_S:
+            last_s = self._last_order_s.get(service, -CHANGE_INTERVAL_S)
+            if lacks_stage(engines) or now_s - last_s >= CHANGE_INTERVAL_S:
                 await self._adjust_split(service, engines)
 
     def _may_order(self, now_s):
--- a/currantdeal/control/service.py
+++ b/currantdeal/control/service.py
@@ -39,7 +39,7 @@
     UpstreamsNotice,
 )
 from currantdeal.node.peers import HEARTBEAT_S, pack_frame
-from currantdeal.policy.shared_load import LoadBook
+from currantdeal.policy.shared_load import LoadSums
 from currantdeal.registry import UpstreamState
 from currantdeal.routing import InvalidConfigError, check_config
 
@@ -106,7 +106,7 @@
         self._started_s = clock()
         self._published_version = 0
         self._config_frame = None
-        self._loads = LoadBook()
+        self._loads = LoadSums()
         self._last_load = None
         self._last_load_s = 0.0
 
@@ -162,7 +162,7 @@
     def on_lost(self, connection):
         """Remove a subscriber whose connection was lost."""
         self._exchange.subscribers.discard(connection)
-        self._loads.drop_entry(connection)
+        self._loads.remove_entry(connection)
 
     @property
     def held(self):
@@ -178,11 +178,14 @@
         only while it is fresh.
         """
         now_s = self._clock()
-        here = self._loads.here(now_s=now_s)
-        if here != self._last_load or now_s - self._last_load_s > HEARTBEAT_S:
-            self._last_load = here
+        local_total = self._loads.local_total(now_s=now_s)
+        if (
+            local_total != self._last_load
+            or now_s - self._last_load_s > HEARTBEAT_S
+        ):
+            self._last_load = local_total
             self._last_load_s = now_s
-            self._exchange.notify_others(self._load_notice(here))
+            self._exchange.notify_others(self._load_notice(local_total))
         total = self._loads.total(now_s=now_s)
         self._exchange.publish(self._load_notice(total))
 
@@ -199,9 +202,9 @@
     def _record_load(self, connection, message):
         now_s = self._clock()
         if connection in self._exchange.subscribers:
-            self._loads.take_entry(connection, message.load, now_s=now_s)
+            self._loads.set_entry(connection, message.load, now_s=now_s)
         else:
-            self._loads.take_control(message.sender, message.load, now_s=now_s)
+            self._loads.set_control(message.sender, message.load, now_s=now_s)
 
     @singledispatchmethod
     def _handle_notice(self, notice, connection):
--- a/currantdeal/control/tests/test_crash_ledger.py
+++ b/currantdeal/control/tests/test_crash_ledger.py
@@ -4,7 +4,7 @@
     CrashLedger,
 )
 from currantdeal.node.messages import CrashesNotice
-from currantdeal.policy.crash_book import Crash, SuspectRecord
+from currantdeal.policy.crash_registry import Crash, SuspectRecord
 
 FINGERPRINT = b"poison"
 
--- a/currantdeal/control/tests/test_crash_store.py
+++ b/currantdeal/control/tests/test_crash_store.py
@@ -3,7 +3,7 @@
 from currantdeal.adapters.disk import DiskCorruptError, DiskFailedError
 from currantdeal.control import crash_store
 from currantdeal.control.crash_store import CrashStore
-from currantdeal.policy.crash_book import Crash, SuspectRecord
+from currantdeal.policy.crash_registry import Crash, SuspectRecord
 from currantdeal.testing.waiting import eventually
 
 RECORD = SuspectRecord(
--- a/currantdeal/entry/context.py
+++ b/currantdeal/entry/context.py
@@ -8,15 +8,15 @@
 from currantdeal.entry.probing import Prober
 from currantdeal.entry.steps import Step, kind_of_failure
 from currantdeal.node.fingerprint import fingerprint_of
-from currantdeal.policy.decode_memory import DecodeMemory
+from currantdeal.policy.decode_memory import DecodeEngineOrder
 from currantdeal.policy.demand import DemandMeter
-from currantdeal.policy.late_callers import PatienceBook
-from currantdeal.policy.reading_turns import ReadingTurns
+from currantdeal.policy.local_prefills import LocalPrefills
 from currantdeal.policy.reset_outcome import CallKind
-from currantdeal.policy.shared_budget import SharedBudget
+from currantdeal.policy.retry_detection import RetryDetector
 from currantdeal.policy.shared_load import EntryLoad
-from currantdeal.policy.standing import Standings
-from currantdeal.routing import Repeat
+from currantdeal.policy.shared_retry_budget import SharedRetryBudget
+from currantdeal.policy.upstream_health import UpstreamHealth
+from currantdeal.routing import RetrySafety
 
 
 class EntryContext:
@@ -45,13 +45,13 @@
         self.dialect = dialect
         self.random = random
         self.metrics = metrics
-        self.standings = Standings()
+        self.health = UpstreamHealth()
         self.load = EntryLoad()
-        self.memory = DecodeMemory(load=self.load)
-        self.prefill_standings = Standings()
-        self.patience = PatienceBook()
-        self.local_prefills = ReadingTurns()
-        self.tell_reading = None
+        self.decode_engine_order = DecodeEngineOrder(load=self.load)
+        self.prefill_health = UpstreamHealth()
+        self.retry_detector = RetryDetector()
+        self.local_prefills = LocalPrefills()
+        self.announce_local_prefill = None
         self._budget_bounds = budget
         self._budgets = {}
         self._meters = {}
@@ -62,7 +62,7 @@
             dialect=dialect,
             in_background=self.in_background,
         )
-        self.crashes = CrashWatch(
+        self.crash_watch = CrashWatch(
             view=view,
             pool=pool,
             metrics=metrics,
@@ -74,27 +74,27 @@
         """Loop time."""
         return asyncio.get_running_loop().time()
 
-    def eject(self, record, standings):
+    def eject(self, record, health):
         """Eject an unreachable upstream until it answers a health check."""
-        self._prober.eject(record, standings)
+        self._prober.eject(record, health)
 
     def begin_local_prefill(self, upstream, for_s):
         """Record a local prefill and announce it to the other entries."""
-        self.local_prefills.begin(upstream, for_s, now_s=self.now_s)
-        if self.tell_reading is not None:
-            self.tell_reading(upstream, for_s)
+        self.local_prefills.start(upstream, for_s, now_s=self.now_s)
+        if self.announce_local_prefill is not None:
+            self.announce_local_prefill(upstream, for_s)
 
-    def take_reading(self, upstream, for_s):
+    def record_local_prefill(self, upstream, for_s):
         """Record a local prefill of another entry."""
-        self.local_prefills.begin(upstream, for_s, now_s=self.now_s)
+        self.local_prefills.start(upstream, for_s, now_s=self.now_s)
 
-    def note_request(self, service):
+    def record_request(self, service):
         """Count a caller's request towards the retry budget of its service."""
-        self._budget(service).note_request(now_s=self.now_s)
+        self._budget(service).record_request(now_s=self.now_s)
 
     def use_retry_budget(self, service):
         """Use a service's budget for a retry; returns False if it is empty."""
-        return self._budget(service).take(
+        return self._budget(service).try_use(
             now_s=self.now_s, entries=self.view.entries
         )
 
@@ -116,19 +116,20 @@
     def report_load(self):
         """Return the load of this entry, as reported to the others."""
         now_s = self.now_s
-        out = {
-            *self.standings.out(now_s=now_s),
-            *self.prefill_standings.out(now_s=now_s),
-            *self.prefill_standings.unresponsive(now_s=now_s),
+        unreachable = {
+            *self.health.ejected(now_s=now_s),
+            *self.prefill_health.ejected(now_s=now_s),
+            *self.prefill_health.unresponsive(now_s=now_s),
         }
         return self.load.report(
-            unreachable=out, patience=self.patience.longest_s
+            unreachable=unreachable,
+            longest_timeouts_s=self.retry_detector.longest_timeouts_s,
         )
 
-    def take_load(self, load):
+    def update_load(self, load):
         """Update the load of all entries at the engines."""
-        self.load.take(load, now_s=self.now_s)
-        self.patience.learn(load.patience)
+        self.load.update_sums(load, now_s=self.now_s)
+        self.retry_detector.set_shared_timeouts(load.patience)
 
     def in_background(self, work):
         """Run a coroutine that outlives its request."""
@@ -139,7 +140,7 @@
     def _budget(self, service):
         found = self._budgets.get(service)
         if found is None:
-            found = SharedBudget(
+            found = SharedRetryBudget(
                 ratio=self._budget_bounds.ratio,
                 allowance=self._budget_bounds.allowance,
                 window_s=self._budget_bounds.window_s,
@@ -244,11 +245,11 @@
     @property
     def kind(self):
         """The ``CallKind`` of the request."""
-        if self.route.repeat is Repeat.RESUMABLE:
+        if self.route.retry_safety is RetrySafety.RESUMABLE:
             return CallKind.RESUMABLE_STREAM
         if self.is_generation or self.route.streaming:
             return CallKind.STREAM
-        if self.route.repeat is Repeat.FREELY:
+        if self.route.retry_safety is RetrySafety.FREELY:
             return CallKind.IDEMPOTENT
         return CallKind.NON_IDEMPOTENT
 
--- a/currantdeal/entry/crash_watch.py
+++ b/currantdeal/entry/crash_watch.py
@@ -1,8 +1,8 @@
 """Detects requests that crash upstreams and keeps them from being sent again.
 
-Load pattern: query of death, see ``currantdeal.policy.crash_book``.  Crashes
-that this entry detects are published to all other processes, and the records
-of the others are merged here.
+Load pattern: query of death, see ``currantdeal.policy.crash_registry``.
+Crashes that this entry detects are published to all other processes, and the
+records of the others are merged here.
 """
 
 import asyncio
@@ -12,7 +12,11 @@
 from currantdeal.node.errors import ConnectError, ConnectRefusedError
 from currantdeal.node.fingerprint import shown
 from currantdeal.node.suspect_log import SuspectLog
-from currantdeal.policy.crash_book import EARLY_WEIGHT, Crash, CrashBook
+from currantdeal.policy.crash_registry import (
+    EARLY_WEIGHT,
+    Crash,
+    CrashRegistry,
+)
 
 _log = structlog.get_logger(__name__)
 
@@ -37,7 +41,7 @@
 
     Attributes
     ----------
-    tell : callable
+    publish : callable
         Sends each changed ``SuspectRecord`` to all other processes.
     """
 
@@ -47,28 +51,32 @@
         self._pool = pool
         self._metrics = metrics
         self._in_background = in_background
-        self._book = CrashBook()
-        self._suspect_log = SuspectLog(log=_log, book=self._book)
+        self._crash_registry = CrashRegistry()
+        self._suspect_log = SuspectLog(
+            log=_log, crash_registry=self._crash_registry
+        )
         self._checks = {}
-        self.tell = lambda records: None
+        self.publish = lambda records: None
 
     @property
     def records(self):
         """All ``SuspectRecord``, to send to a new source."""
-        return self._book.records
+        return self._crash_registry.records
 
     @property
     def quarantined(self):
         """Fingerprints of the requests that are not to be run."""
-        return self._book.quarantined
+        return self._crash_registry.quarantined
 
     def is_quarantined(self, active):
         """Return whether a request is not to be run."""
-        if not self._book or not self._book.is_quarantined(active.fingerprint):
+        if not self._crash_registry or not self._crash_registry.is_quarantined(
+            active.fingerprint
+        ):
             return False
         ready = self._view.ready(active.service.name)
         software = {record.software for record in ready}
-        return not self._book.may_run(active.fingerprint, software)
+        return not self._crash_registry.may_run(active.fingerprint, software)
 
     def may_send(self, active):
         """Return whether a request may be sent to an upstream.
@@ -81,12 +89,12 @@
             return False
         if not active.lost_incarnations:
             return True
-        score = self._book.score(
+        score = self._crash_registry.score(
             active.fingerprint, without=active.lost_incarnations[-1]
         )
         return score < EARLY_WEIGHT
 
-    def note_lost_run(self, active, record, moment, *, events=0):
+    def note_lost_run(self, active, record, phase, *, events=0):
         """Check whether a lost run ended with a crash of its upstream.
 
         The check runs in the background.  If the upstream was draining, its
@@ -98,7 +106,7 @@
             The request.
         record : currantdeal.registry.UpstreamRecord
             The upstream that ran it.
-        moment : currantdeal.policy.reset_outcome.Moment
+        phase : currantdeal.policy.reset_outcome.ExchangePhase
             How far the call had come.
         events : int
             Events of this run that were forwarded.
@@ -113,20 +121,24 @@
         leaves = not self._view.accepts_work(record.upstream)
         self._in_background(
             self._record_lost_run(
-                active, record, moment, events, None if leaves else crash
+                active, record, phase, events, None if leaves else crash
             )
         )
 
     def note_completion(self, active):
         """Clear a request that an upstream has answered in full."""
-        if self._book and self._book.is_suspect(active.fingerprint):
-            self._publish(self._book.add_completion(active.fingerprint))
+        if self._crash_registry and self._crash_registry.is_suspect(
+            active.fingerprint
+        ):
+            self._log_and_publish(
+                self._crash_registry.add_completion(active.fingerprint)
+            )
 
     def merge(self, records):
         """Merge ``SuspectRecord`` of other processes."""
-        self._suspect_log.note(self._book.merge(records))
+        self._suspect_log.note(self._crash_registry.merge(records))
 
-    async def _record_lost_run(self, active, record, moment, events, crash):
+    async def _record_lost_run(self, active, record, phase, events, crash):
         crashed = await self._has_ended(record)
         self._metrics.add("runs_lost_total", crashed=str(crashed).lower())
         _log.info(
@@ -136,17 +148,19 @@
             sender=active.request.sender,
             upstream=record.upstream,
             started=record.started_ms,
-            moment=moment.value,
+            moment=phase.value,
             events=events,
             crashed=crashed,
         )
         if crashed and crash is not None:
-            self._publish(self._book.add_crash(active.fingerprint, crash))
+            self._log_and_publish(
+                self._crash_registry.add_crash(active.fingerprint, crash)
+            )
 
-    def _publish(self, changed):
+    def _log_and_publish(self, changed):
         self._suspect_log.note(changed)
         if changed:
-            self.tell(changed)
+            self.publish(changed)
 
     async def _has_ended(self, record):
         """Return whether the process of an upstream has ended.
--- a/currantdeal/entry/errors.py
+++ b/currantdeal/entry/errors.py
@@ -1,7 +1,7 @@
 """Errors of the entries: why a request gets no complete answer."""
 
 from currantdeal.core.errors import CurrantdealError
-from currantdeal.policy.return_time import Shortage
+from currantdeal.policy.retry_after import RefusalReason
 
 
 class EntryError(CurrantdealError):
@@ -15,14 +15,14 @@
     ----------
     reason : str
         Text for logs and for the caller.
-    shortage : Shortage
+    refusal_reason : RefusalReason
         What is missing; determines the retry-after.
     """
 
-    def __init__(self, reason, *, shortage):
-        """Store the reason and the shortage."""
+    def __init__(self, reason, *, refusal_reason):
+        """Store the text and the ``RefusalReason``."""
         super().__init__(reason)
-        self.shortage = shortage
+        self.refusal_reason = refusal_reason
 
 
 class QuarantinedError(RefusedError):
@@ -39,7 +39,7 @@
         super().__init__(
             f"it is in quarantine as {fingerprint}: upstreams that ran it"
             " crashed",
-            shortage=Shortage.QUARANTINE,
+            refusal_reason=RefusalReason.QUARANTINE,
         )
 
 
--- a/currantdeal/entry/generation.py
+++ b/currantdeal/entry/generation.py
@@ -27,10 +27,13 @@
     SilentUpstreamError,
 )
 from currantdeal.node.fingerprint import shown
-from currantdeal.policy.late_callers import LATE_FULL, LATE_WAIT_TARGETS
-from currantdeal.policy.reset_outcome import Moment, reset_outcome
-from currantdeal.policy.return_time import Shortage
-from currantdeal.routing import Repeat
+from currantdeal.policy.reset_outcome import ExchangePhase, reset_outcome
+from currantdeal.policy.retry_after import RefusalReason
+from currantdeal.policy.retry_detection import (
+    RETRY_MAX_FILL,
+    RETRY_WAIT_TARGETS,
+)
+from currantdeal.routing import RetrySafety
 
 RESERVE_WAIT_TARGETS = 2 / 3
 """Longest wait for memory, as a multiple of the latency target of the route.
@@ -40,7 +43,7 @@
 
 RESUME_SILENCE_PAUSES = 4.0
 """Silence after which a stream is resumed at another engine, as a multiple of
-its pause target.
+its gap target.
 
 It is resumed only once memory is reserved there: an engine that has only
 preempted the stream will continue it.
@@ -53,7 +56,7 @@
 Callers time out a little later; the rest is for the prefill.
 """
 
-DEFAULT_PAUSE_TARGET_S = 0.3
+DEFAULT_GAP_TARGET_S = 0.3
 """Pause target of a route without one."""
 
 HANDLE_REUSE_SHARE = 0.7
@@ -80,9 +83,9 @@
     IncompleteAnswerError
         If the answer ended early, after events were forwarded.
     """
-    active.is_retry = context.patience.has_returned(
+    active.is_retry = context.retry_detector.is_retry(
         active.route.name,
-        active.call.patience_s,
+        active.call.caller_timeout_s,
         limit_s=active.route.timeout_s,
     )
     generation = _Generation(context=context, active=active)
@@ -115,9 +118,9 @@
         return self._context.now_s
 
     @property
-    def _pause_target_s(self):
+    def _gap_target_s(self):
         """Longest timely pause between two events."""
-        return self._active.route.pause_target_s or DEFAULT_PAUSE_TARGET_S
+        return self._active.route.gap_target_s or DEFAULT_GAP_TARGET_S
 
     async def attempt(self):
         """Make one attempt; returns whether the answer is complete."""
@@ -130,9 +133,7 @@
         self._active.add_step(StepKind.MEMORY, reservation.record.upstream)
         waited_s = self._now_s - self._active.request.arrived_s
         self._context.metrics.observe("memory_wait_seconds", waited_s)
-        self._context.load.began(
-            reservation.record.upstream, reservation.tokens
-        )
+        self._context.load.add(reservation.record.upstream, reservation.tokens)
         try:
             if not self._may_send():
                 return False
@@ -143,14 +144,14 @@
             used = True
             return await self._decode(reservation, prefill)
         finally:
-            self._context.load.ended(
+            self._context.load.remove(
                 reservation.record.upstream, reservation.tokens
             )
             if not used:
                 self._reserver.release(reservation)
 
     def _may_send(self):
-        if self._context.crashes.may_send(self._active):
+        if self._context.crash_watch.may_send(self._active):
             return True
         self._reason = "upstreams that ran it crashed"
         return False
@@ -171,7 +172,7 @@
         prefill, self._unused_prefill = self._unused_prefill, None
         if prefill is not None:
             age_s = self._now_s - prefill.completed_s
-            handle_ttl_s = self._active.service.engine.handle_s
+            handle_ttl_s = self._active.service.engine.kv_handle_ttl_s
             if age_s < HANDLE_REUSE_SHARE * handle_ttl_s:
                 return prefill
             release_kv_cache(self._context, prefill)
@@ -189,7 +190,7 @@
             return False
         if active.time_left_s(self._now_s) < active.route.target_s / 4:
             return False
-        resumable = active.route.repeat is Repeat.RESUMABLE
+        resumable = active.route.retry_safety is RetrySafety.RESUMABLE
         if active.runs and not resumable:
             return False
         if active.runs >= active.route.max_upstreams:
@@ -223,20 +224,22 @@
             raise IncompleteAnswerError(self._reason)
         if self._active.runs:
             raise FailedError(self._reason)
-        if self._context.crashes.is_quarantined(self._active):
+        if self._context.crash_watch.is_quarantined(self._active):
             raise QuarantinedError(shown(self._active.fingerprint))
-        raise RefusedError(self._reason, shortage=Shortage.MEMORY)
+        raise RefusedError(self._reason, refusal_reason=RefusalReason.MEMORY)
 
     async def _reserve(self):
         active = self._active
         if self._relay.started:
-            wait_s = RESUME_WAIT_PAUSES * self._pause_target_s
+            wait_s = RESUME_WAIT_PAUSES * self._gap_target_s
             return await self._reserver.reserve(self._now_s + wait_s)
         arrived_s = active.request.arrived_s
         if active.is_retry:
-            wait_s = LATE_WAIT_TARGETS * active.route.target_s
+            wait_s = RETRY_WAIT_TARGETS * active.route.target_s
             until_s = min(arrived_s + wait_s, active.deadline_s)
-            return await self._reserver.reserve(until_s, full=LATE_FULL)
+            return await self._reserver.reserve(
+                until_s, max_fill=RETRY_MAX_FILL
+            )
         wait_s = RESERVE_WAIT_TARGETS * active.route.target_s
         until_s = min(arrived_s + wait_s, active.deadline_s)
         return await self._reserver.reserve(until_s)
@@ -262,7 +265,7 @@
             self._unused_prefill = prefill
             self._reserver.note_unreachable(record, exc)
             return False
-        context.standings.began(record.upstream)
+        context.health.request_started(record.upstream)
         try:
             connection.send(call)
             return await self._stream(connection, record)
@@ -270,7 +273,7 @@
             self._handle_lost_run(record, exc)
             return False
         finally:
-            context.standings.ended(record.upstream)
+            context.health.request_ended(record.upstream)
             context.pool.put_back(connection)
 
     async def _stream(self, connection, record):
@@ -283,7 +286,7 @@
             # It granted memory and then refused the request, for example
             # because it changes its stage.  A retry there would waste
             # another prefill.
-            context.eject(record, context.standings)
+            context.eject(record, context.health)
             self._reason = f"refused with {head.status}"
             active.add_step(StepKind.REFUSED, record.upstream, head.status)
             return False
@@ -301,8 +304,8 @@
         await self._relay.forward_events(
             head, lambda: self._wait_or_fail_over(connection.chunk(), record)
         )
-        context.standings.answered(record.upstream, error=False)
-        context.crashes.note_completion(active)
+        context.health.record_answer(record.upstream, error=False)
+        context.crash_watch.note_completion(active)
         self._record_memory_use(self._now_s - began_s)
         return True
 
@@ -315,12 +318,14 @@
         per_event = active.service.engine.tokens_per_event
         output = self._relay.events * per_event
         tokens = active.call.prompt_tokens + output / 2
-        self._context.meter(active.service.name).end(tokens, duration_s)
+        self._context.meter(active.service.name).record_completed(
+            tokens, duration_s
+        )
 
     async def _forward_error(self, connection, head, record):
         body = await connection.rest()
-        self._context.standings.answered(record.upstream, error=True)
-        self._context.crashes.note_completion(self._active)
+        self._context.health.record_answer(record.upstream, error=True)
+        self._context.crash_watch.note_completion(self._active)
         self._active.add_step(StepKind.ERROR, record.upstream, head.status)
         self._reason = f"resumed run failed with {head.status}"
         return self._relay.forward_error(head, body)
@@ -337,7 +342,7 @@
             If another engine is to resume the stream.
         """
         active = self._active
-        resumable = active.route.repeat is Repeat.RESUMABLE
+        resumable = active.route.retry_safety is RetrySafety.RESUMABLE
         if not resumable or active.runs >= active.route.max_upstreams:
             return await work
         task = asyncio.ensure_future(work)
@@ -345,14 +350,14 @@
             while True:
                 await asyncio.wait(
                     {task},
-                    timeout=RESUME_SILENCE_PAUSES * self._pause_target_s,
+                    timeout=RESUME_SILENCE_PAUSES * self._gap_target_s,
                 )
                 if task.done():
                     return task.result()
                 self._next_reservation = await self._reserve_elsewhere(record)
                 if self._next_reservation is not None and not task.done():
                     raise SilentUpstreamError(
-                        "no event", moment=Moment.BETWEEN_EVENTS
+                        "no event", phase=ExchangePhase.BETWEEN_EVENTS
                     )
         finally:
             task.cancel()
@@ -366,15 +371,15 @@
 
     def _handle_lost_run(self, record, exc):
         active = self._active
-        moment = self._relay.moment_of(exc)
-        if reset_outcome(active.kind, moment).ran is not Ran.NO:
+        phase = self._relay.phase_of(exc)
+        if reset_outcome(active.kind, phase).ran is not Ran.NO:
             active.runs = max(active.runs, 1)
         self._relay.drop_partial_event()
         self._reason = str(exc)
         if isinstance(exc, BrokenAnswerError):
             events = self._relay.events - self._events_before_run
-            self._context.crashes.note_lost_run(
-                active, record, moment, events=events
+            self._context.crash_watch.note_lost_run(
+                active, record, phase, events=events
             )
         self._reserver.exclude(record)
         self._reserver.note_unreachable(record, exc)
@@ -383,6 +388,6 @@
             request=active.call.request_id,
             upstream=record.upstream,
             after=self._relay.last_id,
-            moment=moment.value,
+            moment=phase.value,
             why=str(exc),
         )
--- a/currantdeal/entry/memory.py
+++ b/currantdeal/entry/memory.py
@@ -15,7 +15,7 @@
 from currantdeal.node.connection_pool import exchange
 from currantdeal.node.errors import ExchangeError
 from currantdeal.policy.decode_memory import (
-    FULL,
+    MAX_FILL,
     GenerationSize,
     tokens_to_reserve,
 )
@@ -81,23 +81,27 @@
         """Exclude an engine whose connection to this generation was lost."""
         self._excluded.add(record.upstream)
 
-    async def reserve(self, until_s, *, full=FULL):
+    async def reserve(self, until_s, *, max_fill=MAX_FILL):
         """Reserve memory; returns None if none is free until a time.
 
         Parameters
         ----------
         until_s : float
             Loop time at which to stop trying.
-        full : float
+        max_fill : float
             Share of an engine's memory that may be claimed in all; lower
             for retrying callers.
         """
-        pause_s = RESERVE_PAUSE_S if full >= FULL else RETRYING_CALLER_PAUSE_S
+        pause_s = (
+            RESERVE_PAUSE_S
+            if max_fill >= MAX_FILL
+            else RETRYING_CALLER_PAUSE_S
+        )
         hedge = Hedge(delay_s=HEDGE_S, release_grant=self.release)
         try:
             while True:
                 granted = await self._reserve_at_any(
-                    hedge, self._engines(full)
+                    hedge, self._engines(max_fill)
                 )
                 if granted is None and self._now_s + pause_s <= until_s:
                     granted = await hedge.wait(pause_s)
@@ -136,7 +140,7 @@
             if hedge.is_pending(record.upstream):
                 # It is slow.  For a while, other requests of this entry ask
                 # it last.
-                self._context.memory.refused(
+                self._context.decode_engine_order.record_refusal(
                     record.upstream, now_s=self._now_s
                 )
         return None
@@ -151,7 +155,7 @@
     def note_unreachable(self, record, exc):
         """Eject an engine that is unreachable or lost its connection."""
         context = self._context
-        context.eject(record, context.standings)
+        context.eject(record, context.health)
         context.pool.forget(record.address)
         self._active.add_failure_step(record.upstream, exc)
 
@@ -182,7 +186,9 @@
         if head.status != 200:
             self._active.search.refused += 1
             if accepts_work:
-                context.memory.refused(record.upstream, now_s=self._now_s)
+                context.decode_engine_order.record_refusal(
+                    record.upstream, now_s=self._now_s
+                )
             return None
         try:
             number = context.dialect.read_reservation(body)
@@ -209,31 +215,31 @@
         prefilling = {
             n
             for n in names
-            if context.local_prefills.is_reading(n, now_s=now_s)
+            if context.local_prefills.is_prefilling(n, now_s=now_s)
         }
         if prefilling and expects_local_prefill(context, self._active):
             return prefilling
         return frozenset()
 
-    def _engines(self, full=FULL):
+    def _engines(self, max_fill=MAX_FILL):
         view, context = self._context.view, self._context
         records = {
             record.upstream: record
             for record in view.engines(self._active.service.name, Stage.DECODE)
             if record.upstream not in self._excluded
-            and not context.standings.is_out(
+            and not context.health.is_ejected(
                 record.upstream, now_s=self._now_s
             )
         }
-        ordered = context.memory.order(
+        ordered = context.decode_engine_order.order(
             list(records),
             tokens=self._tokens,
             capacity=self._active.service.engine.kv_tokens,
             distance=lambda name: view.distance(records[name]),
             random=context.random,
             now_s=self._now_s,
-            full=full,
-            reading=self._prefilling_engines(records).__contains__,
+            max_fill=max_fill,
+            prefilling=self._prefilling_engines(records).__contains__,
             connected=lambda name: context.pool.is_connected(
                 records[name].address
             ),
--- a/currantdeal/entry/plain.py
+++ b/currantdeal/entry/plain.py
@@ -25,9 +25,9 @@
 )
 from currantdeal.node.fingerprint import shown
 from currantdeal.policy.reset_outcome import reset_outcome
-from currantdeal.policy.return_time import Shortage
-from currantdeal.policy.standing import in_order
-from currantdeal.routing import Repeat
+from currantdeal.policy.retry_after import RefusalReason
+from currantdeal.policy.upstream_health import order_upstreams
+from currantdeal.routing import RetrySafety
 
 FIRST_ATTEMPT_SHARE = 0.5
 """Share of the time left that the first of two attempts may take.
@@ -59,7 +59,7 @@
     last = None
     while len(attempted) < MAX_ATTEMPTS:
         record = _next_upstream(context, active, attempted)
-        if record is None or not context.crashes.may_send(active):
+        if record is None or not context.crash_watch.may_send(active):
             break
         if attempted and not context.use_retry_budget(active.service.name):
             active.add_step(StepKind.NO_BUDGET)
@@ -78,13 +78,13 @@
 class _AttemptResult:
     """The outcome of one attempt.
 
-    ``final`` is true if the answer is forwarded to the caller, ``repeatable``
+    ``final`` is true if the answer is forwarded to the caller, ``retryable``
     if another upstream may be tried; ``head`` is None without a complete
     answer.
     """
 
-    def __init__(self, *, repeatable, head=None, body=b"", final=False):
-        self.repeatable = repeatable
+    def __init__(self, *, retryable, head=None, body=b"", final=False):
+        self.retryable = retryable
         self.head = head
         self.body = body
         self.final = final
@@ -96,9 +96,9 @@
         for record in context.view.ready(active.service.name)
         if record.upstream not in attempted
     ]
-    ordered = in_order(
+    ordered = order_upstreams(
         ready,
-        context.standings,
+        context.health,
         distance=context.view.distance,
         random=context.random,
         now_s=context.now_s,
@@ -108,13 +108,13 @@
 
 def _may_retry(active, answer):
     runs_left = active.runs == 0 or active.runs < active.route.max_upstreams
-    return answer.repeatable and runs_left
+    return answer.retryable and runs_left
 
 
 def _attempt_timeout_s(active, now_s):
     left_s = active.time_left_s(now_s)
-    repeatable = active.route.repeat is Repeat.FREELY
-    if repeatable and active.runs + 1 < active.route.max_upstreams:
+    retryable = active.route.retry_safety is RetrySafety.FREELY
+    if retryable and active.runs + 1 < active.route.max_upstreams:
         return FIRST_ATTEMPT_SHARE * left_s
     return left_s
 
@@ -127,7 +127,7 @@
     outgoing = context.dialect.outgoing(
         active.request.head, active.request.body, directions
     )
-    context.standings.began(record.upstream)
+    context.health.request_started(record.upstream)
     try:
         head, body = await exchange(
             context.pool,
@@ -142,56 +142,56 @@
         active.runs += 1
         raise
     finally:
-        context.standings.ended(record.upstream)
+        context.health.request_ended(record.upstream)
     return _handle_answer(context, active, record, head, body)
 
 
 def _record_failure(context, active, record, exc):
-    outcome = reset_outcome(active.kind, exc.moment)
+    outcome = reset_outcome(active.kind, exc.phase)
     if outcome.ran is not Ran.NO:
         active.runs += 1
     silent = isinstance(exc, (ConnectError, SilentUpstreamError))
     if silent:
-        context.eject(record, context.standings)
+        context.eject(record, context.health)
         context.pool.forget(record.address)
     else:
-        context.standings.answered(record.upstream, error=True)
+        context.health.record_answer(record.upstream, error=True)
     if isinstance(exc, BrokenAnswerError):
-        context.crashes.note_lost_run(active, record, exc.moment)
+        context.crash_watch.note_lost_run(active, record, exc.phase)
     active.add_failure_step(record.upstream, exc)
-    return _AttemptResult(repeatable=outcome.by_entry)
+    return _AttemptResult(retryable=outcome.retryable_by_entry)
 
 
 def _handle_answer(context, active, record, head, body):
     traits = context.dialect.read_reply(head)
     context.view.drop_if_replaced(record, traits.answered_by)
     if traits.load is not None:
-        context.standings.reported(
+        context.health.record_load(
             record.upstream,
             traits.load.running + traits.load.waiting,
             now_s=context.now_s,
         )
     if traits.not_run:
-        context.standings.answered(record.upstream, error=False)
+        context.health.record_answer(record.upstream, error=False)
         active.add_step(StepKind.REFUSED, record.upstream, head.status)
-        return _AttemptResult(repeatable=True)
+        return _AttemptResult(retryable=True)
     active.runs += 1
-    repeatable = active.route.repeat is Repeat.FREELY
+    retryable = active.route.retry_safety is RetrySafety.FREELY
     mismatched = traits.request_id not in ("", active.call.request_id)
     if mismatched or not traits.genuine:
-        context.standings.answered(record.upstream, error=True)
+        context.health.record_answer(record.upstream, error=True)
         active.add_step(StepKind.ERROR, record.upstream, "not its answer")
-        return _AttemptResult(repeatable=repeatable)
-    context.crashes.note_completion(active)
+        return _AttemptResult(retryable=retryable)
+    context.crash_watch.note_completion(active)
     error = head.status >= 500
-    context.standings.answered(record.upstream, error=error)
+    context.health.record_answer(record.upstream, error=error)
     active.add_step(
         StepKind.ERROR if error else StepKind.ANSWER,
         record.upstream,
         head.status,
     )
     return _AttemptResult(
-        repeatable=repeatable, head=head, body=body, final=not error
+        retryable=retryable, head=head, body=body, final=not error
     )
 
 
@@ -205,8 +205,10 @@
     if last is not None:
         _forward(context, active, last)
         return
-    if active.runs == 0 and context.crashes.is_quarantined(active):
+    if active.runs == 0 and context.crash_watch.is_quarantined(active):
         raise QuarantinedError(shown(active.fingerprint))
     if active.runs == 0:
-        raise RefusedError("no upstream took it", shortage=Shortage.UPSTREAMS)
+        raise RefusedError(
+            "no upstream took it", refusal_reason=RefusalReason.UPSTREAMS
+        )
     raise FailedError("an upstream may have run it")
--- a/currantdeal/entry/prefill.py
+++ b/currantdeal/entry/prefill.py
@@ -2,7 +2,7 @@
 
 Local prefill is done by the decode engine that generates the output.  It
 pauses the other streams of that engine, so it is used only where
-``currantdeal.policy.prompt_reader`` allows it.
+``currantdeal.policy.prefill_choice`` allows it.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 from currantdeal.node.connection_pool import exchange
 from currantdeal.node.dialect import Directions
 from currantdeal.node.errors import BrokenAnswerError, ExchangeError
-from currantdeal.policy.prompt_reader import (
-    decode_engine_reads,
+from currantdeal.policy.prefill_choice import (
     estimate_prefill,
-    own_reading_s,
-    prompt_patience_s,
+    local_prefill_s,
+    prefers_local_prefill,
+    prefill_timeout_s,
 )
 from currantdeal.registry import Stage, UpstreamRecord
 
@@ -86,7 +86,7 @@
         except PrefillFailedError as exc:
             if exc.maybe_running:
                 break
-    if not context.crashes.may_send(active):
+    if not context.crash_watch.may_send(active):
         return None
     await _wait_for_local_prefills(context, active, decode_engine)
     active.add_step(StepKind.LOCAL_PREFILL, decode_engine.upstream)
@@ -112,7 +112,7 @@
     meter = context.meter(active.service.name)
     context.begin_local_prefill(
         decode_engine.upstream,
-        own_reading_s(active.call.prompt_tokens, meter.s_per_token),
+        local_prefill_s(active.call.prompt_tokens, meter.s_per_token),
     )
     await asyncio.sleep(min(wait_s, LOCAL_PREFILL_MAX_WAIT_S))
 
@@ -138,7 +138,7 @@
     records = {
         record.upstream: record
         for record in context.view.engines(service, Stage.PREFILL)
-        if not context.prefill_standings.is_out(record.upstream, now_s=now_s)
+        if not context.prefill_health.is_ejected(record.upstream, now_s=now_s)
     }
     return estimate_prefill(
         records,
@@ -150,9 +150,11 @@
             else 0
         ),
         random=context.random,
-        suspect=lambda name: context.load.is_suspect(name, now_s=now_s),
+        is_suspect=lambda name: context.load.is_suspect(name, now_s=now_s),
         s_per_token=context.meter(service).s_per_token,
-        unseen=context.load.unseen(active.call.prompt_tokens, now_s=now_s),
+        unreported=context.load.unreported(
+            active.call.prompt_tokens, now_s=now_s
+        ),
         connected=lambda name: context.pool.is_connected(
             records[name].address
         ),
@@ -171,12 +173,12 @@
         local_wait_s = context.local_prefills.free_in_s(
             decode_engine.upstream, now_s=context.now_s
         )
-    return decode_engine_reads(
+    return prefers_local_prefill(
         best,
         tokens=active.call.prompt_tokens,
         s_per_token=context.meter(active.service.name).s_per_token,
         time_left_s=_time_left_s(context, active, in_time) - local_wait_s,
-        pause_target_s=active.route.pause_target_s,
+        gap_target_s=active.route.gap_target_s,
     )
 
 
@@ -192,7 +194,7 @@
     """Prefill the prompt at a prefill engine; returns its ``Prefill``."""
     record = context.view.record(best.upstream)
     began_s = context.now_s
-    context.load.began(record.upstream, active.call.prompt_tokens)
+    context.load.add(record.upstream, active.call.prompt_tokens)
     try:
         head, body = await _request_prefill(
             context, active, record, best, in_time
@@ -200,14 +202,14 @@
     except ExchangeError as exc:
         _handle_failed_prefill(context, record, exc, began_s)
         if isinstance(exc, BrokenAnswerError):
-            context.crashes.note_lost_run(active, record, exc.moment)
+            context.crash_watch.note_lost_run(active, record, exc.phase)
         active.add_failure_step(record.upstream, exc)
         raise PrefillFailedError(str(exc), maybe_running=exc.sent) from exc
     finally:
-        context.load.ended(record.upstream, active.call.prompt_tokens)
+        context.load.remove(record.upstream, active.call.prompt_tokens)
     prefill = _parse_answer(context, active, record, head, body)
     _record_prefill_time(context, active, context.now_s - began_s)
-    active.add_step(StepKind.PROMPT, record.upstream)
+    active.add_step(StepKind.PREFILL, record.upstream)
     return prefill
 
 
@@ -223,22 +225,22 @@
     """
     kind = kind_of_failure(exc)
     if kind is StepKind.UNREACHABLE:
-        context.eject(record, context.prefill_standings)
-    elif context.prefill_standings.answered_s(record.upstream) <= since_s:
+        context.eject(record, context.prefill_health)
+    elif context.prefill_health.last_answer_s(record.upstream) <= since_s:
         context.pool.forget(record.address)
-        context.prefill_standings.timed_out(
+        context.prefill_health.record_timeout(
             record.upstream, now_s=context.now_s
         )
 
 
 async def _request_prefill(context, active, record, best, in_time):
-    patience_s = prompt_patience_s(
+    timeout_s = prefill_timeout_s(
         best,
         tokens=active.call.prompt_tokens,
         s_per_token=context.meter(active.service.name).s_per_token,
         time_left_s=_time_left_s(context, active, in_time),
     )
-    left_s = min(patience_s, active.time_left_s(context.now_s))
+    left_s = min(timeout_s, active.time_left_s(context.now_s))
     directions = Directions(
         upstream=record.upstream,
         time_left_s=left_s,
@@ -258,12 +260,12 @@
     if head.status != 200:
         # It is changing its stage or leaving; a retry would be refused
         # again.
-        context.eject(record, context.prefill_standings)
+        context.eject(record, context.prefill_health)
         active.add_step(StepKind.REFUSED, record.upstream, head.status)
         raise PrefillFailedError(
             f"refused with {head.status}", maybe_running=not traits.not_run
         )
-    context.prefill_standings.answered(
+    context.prefill_health.record_answer(
         record.upstream, error=False, now_s=context.now_s
     )
     try:
@@ -276,5 +278,5 @@
 
 def _record_prefill_time(context, active, took_s):
     meter = context.meter(active.service.name)
-    meter.read(active.call.prompt_tokens, took_s)
+    meter.record_prefill(active.call.prompt_tokens, took_s)
     context.metrics.observe("prefill_seconds", took_s)
--- a/currantdeal/entry/probing.py
+++ b/currantdeal/entry/probing.py
@@ -49,25 +49,25 @@
         self._in_background = in_background
         self._probed = set()
 
-    def eject(self, record, standings):
+    def eject(self, record, health):
         """Eject an upstream until it answers a health check.
 
         Parameters
         ----------
-        standings : Standings
-            The standings in which it is ejected.
+        health : UpstreamHealth
+            The health records in which it is ejected.
         """
         now_s = asyncio.get_running_loop().time()
-        pause_s = standings.unreachable(
+        pause_s = health.eject(
             record.upstream, now_s=now_s, grace_s=PROBE_TIMEOUT_S
         )
-        key = (record.upstream, standings)
+        key = (record.upstream, health)
         if key not in self._probed:
             self._probed.add(key)
             _log.info("upstream-out", upstream=record.upstream, pause=pause_s)
-            self._in_background(self._probe(record, standings))
+            self._in_background(self._probe(record, health))
 
-    async def _probe(self, record, standings):
+    async def _probe(self, record, health):
         name = record.upstream
         pause_s = FIRST_PROBE_S
         try:
@@ -76,19 +76,19 @@
                 now_s = asyncio.get_running_loop().time()
                 if not self._view.accepts_work(name):
                     return
-                if not standings.is_out(name, now_s=now_s):
+                if not health.is_ejected(name, now_s=now_s):
                     return
                 if await self._answers_health_check(record):
-                    standings.reachable(name)
+                    health.readmit(name)
                     _log.info("upstream-back", upstream=name)
                     return
-                pause_s = standings.unreachable(
+                pause_s = health.eject(
                     name,
                     now_s=asyncio.get_running_loop().time(),
                     grace_s=PROBE_TIMEOUT_S,
                 )
         finally:
-            self._probed.discard((name, standings))
+            self._probed.discard((name, health))
 
     async def _answers_health_check(self, record):
         path = self._view.health_path(record.service)
--- a/currantdeal/entry/relay.py
+++ b/currantdeal/entry/relay.py
@@ -1,7 +1,7 @@
 """Forwards the events of a generation to its caller, over several runs."""
 
 from currantdeal.entry.events import EventSplitter
-from currantdeal.policy.reset_outcome import Moment
+from currantdeal.policy.reset_outcome import ExchangePhase
 
 
 class EventRelay:
@@ -69,8 +69,8 @@
         self._started = True
         return True
 
-    def moment_of(self, exc):
-        """Return the ``Moment`` of the answer at which a run was lost.
+    def phase_of(self, exc):
+        """Return the ``ExchangePhase`` of the answer in which a run was lost.
 
         Parameters
         ----------
@@ -78,10 +78,10 @@
             The failure of the run.
         """
         if not self._started:
-            return exc.moment
+            return exc.phase
         if self._splitter.partial_event:
-            return Moment.WITHIN_EVENT
-        return Moment.BETWEEN_EVENTS
+            return ExchangePhase.WITHIN_EVENT
+        return ExchangePhase.BETWEEN_EVENTS
 
     def drop_partial_event(self):
         """Discard an event that its run did not complete."""
--- a/currantdeal/entry/service.py
+++ b/currantdeal/entry/service.py
@@ -16,7 +16,7 @@
 from currantdeal.entry.plain import serve_plain
 from currantdeal.node.dialect import CallerRequest
 from currantdeal.node.fingerprint import shown
-from currantdeal.policy.return_time import Shortage, return_after_s
+from currantdeal.policy.retry_after import RefusalReason, choose_retry_after_s
 
 ANSWER_MARGIN_S = 0.03
 """Time before the caller's timeout at which a request is timed out.
@@ -24,10 +24,10 @@
 The final answer still has to reach its caller.
 """
 
-DEFAULT_PATIENCE_S = 60.0
+DEFAULT_CALLER_TIMEOUT_S = 60.0
 """Timeout of a caller that sets none."""
 
-_REFUSAL_STATUS = {Shortage.QUARANTINE: 429}
+_REFUSAL_STATUS = {RefusalReason.QUARANTINE: 429}
 """Statuses of refusals other than 503.
 
 There is capacity for a request in quarantine; the caller must not retry it.
@@ -37,7 +37,7 @@
 _OUTCOME_UNKNOWN = (
     "outcome unknown, the request may have run; check before sending it again"
 )
-_UNREADABLE_CALL = CallerRequest(request_id="", patience_s=None)
+_UNREADABLE_CALL = CallerRequest(request_id="", caller_timeout_s=None)
 _log = structlog.get_logger(__name__)
 
 
@@ -58,44 +58,47 @@
 
     async def handle(self, request, responder):
         """Answer one request."""
-        table = self._context.view.table
+        route_table = self._context.view.route_table
         try:
             call = self._context.dialect.read_caller(request.head)
         except DialectError as exc:
             version = self._context.view.version
             self._reject(responder, _UNREADABLE_CALL, 400, str(exc), version)
             return
-        if table is None:
+        if route_table is None:
             refusal = RefusedError(
-                "no configuration yet", shortage=Shortage.CONFIGURATION
+                "no configuration yet",
+                refusal_reason=RefusalReason.CONFIGURATION,
             )
             self._refuse(request, responder, call, refusal)
             return
         host = request.head.get("host", "")
-        route = table.find(host, request.head.target)
+        route = route_table.find(host, request.head.target)
         if route is None:
             self._reject(
                 responder,
                 call,
                 404,
                 "no route matches the host and path",
-                table.version,
+                route_table.version,
             )
             return
         if not call.request_id:
-            self._reject(responder, call, 400, "no request id", table.version)
+            self._reject(
+                responder, call, 400, "no request id", route_table.version
+            )
             return
-        patience_s = min(
-            call.patience_s or DEFAULT_PATIENCE_S, route.timeout_s
+        caller_timeout_s = min(
+            call.caller_timeout_s or DEFAULT_CALLER_TIMEOUT_S, route.timeout_s
         )
         active = ActiveRequest(
             request=request,
             responder=responder,
             call=call,
             route=route,
-            service=table.draw_service(route, self._context.random),
-            version=table.version,
-            deadline_s=request.arrived_s + patience_s - ANSWER_MARGIN_S,
+            service=route_table.choose_service(route, self._context.random),
+            version=route_table.version,
+            deadline_s=request.arrived_s + caller_timeout_s - ANSWER_MARGIN_S,
         )
         await self._run(active)
 
@@ -107,7 +110,7 @@
             self._log_end(active, outcome)
 
     async def _serve(self, active):
-        self._context.note_request(active.service.name)
+        self._context.record_request(active.service.name)
         try:
             async with asyncio.timeout_at(active.deadline_s):
                 await self._dispatch(active)
@@ -125,16 +128,16 @@
         return "answered"
 
     async def _dispatch(self, active):
-        if self._context.crashes.is_quarantined(active):
+        if self._context.crash_watch.is_quarantined(active):
             raise QuarantinedError(shown(active.fingerprint))
         if not active.is_generation:
             await serve_plain(self._context, active)
             return
         meter = self._context.meter(active.service.name)
-        meter.offer()
+        meter.record_offered()
         if self.refuse_streams:
             raise RefusedError(
-                "this instance stops", shortage=Shortage.STOPPING
+                "this instance stops", refusal_reason=RefusalReason.STOPPING
             )
         await serve_generation(self._context, active)
 
@@ -153,18 +156,20 @@
         return "failed: nothing was free in its time"
 
     def _refuse(self, request, responder, call, refusal):
-        patience_s = call.patience_s or DEFAULT_PATIENCE_S
+        caller_timeout_s = call.caller_timeout_s or DEFAULT_CALLER_TIMEOUT_S
         waited_s = self._context.now_s - request.arrived_s
-        after_s = return_after_s(
-            refusal.shortage, patience_s - waited_s, self._context.random
+        after_s = choose_retry_after_s(
+            refusal.refusal_reason,
+            caller_timeout_s - waited_s,
+            self._context.random,
         )
         retry_after = (b"retry-after", f"{max(0.0, after_s):.3f}".encode())
-        status = _REFUSAL_STATUS.get(refusal.shortage, 503)
+        status = _REFUSAL_STATUS.get(refusal.refusal_reason, 503)
         responder.answer(
             status, (_TEXT_HEADER, retry_after), _text_body(str(refusal))
         )
         self._context.metrics.add(
-            "refused_total", reason=refusal.shortage.value
+            "refused_total", reason=refusal.refusal_reason.value
         )
         _log.info(
             "request-refused",
@@ -217,8 +222,8 @@
             first=None if first_s is None else round(first_s, 4),
             longest_pause=round(active.longest_pause_s, 4),
             target=active.route.target_s,
-            pause_target=active.route.pause_target_s,
-            patience=active.call.patience_s,
+            pause_target=active.route.gap_target_s,
+            patience=active.call.caller_timeout_s,
             timeout=active.route.timeout_s,
             returned=active.is_retry,
             prompt_tokens=active.call.prompt_tokens,
--- a/currantdeal/entry/steps.py
+++ b/currantdeal/entry/steps.py
@@ -21,7 +21,7 @@
     ----------
     MEMORY
         A decode engine reserved memory.
-    PROMPT
+    PREFILL
         A prefill engine prefilled the prompt.
     LOCAL_PREFILL
         The decode engine is to prefill the prompt itself.
@@ -44,7 +44,7 @@
     """
 
     MEMORY = "memory"
-    PROMPT = "prompt"
+    PREFILL = "prompt"
     LOCAL_PREFILL = "own-prompt"
     STREAM = "stream"
     ANSWER = "answer"
@@ -76,9 +76,9 @@
     >>> step = Step(after_s=0.25, kind=StepKind.MEMORY, upstream="d1")
     >>> str(step)
     '0.250 memory d1'
-    >>> read_step("0.401 silent d2: no answer in 0.40 s").kind.value
+    >>> parse_step("0.401 silent d2: no answer in 0.40 s").kind.value
     'silent'
-    >>> read_step("of another release") is None
+    >>> parse_step("of another release") is None
     True
     """
 
@@ -94,7 +94,7 @@
         return f"{text}: {self.detail}" if self.detail else text
 
 
-def read_step(text):
+def parse_step(text):
     """Parse the text of a logged step; returns None if it is not one."""
     head, _, detail = text.partition(": ")
     parts = head.split()
--- a/currantdeal/entry/subscription.py
+++ b/currantdeal/entry/subscription.py
@@ -66,12 +66,12 @@
         Returns the demand of each service since the last call.
     report_load : callable
         Returns the ``PoolLoad`` of this entry.
-    take_load : callable
+    update_load : callable
         Called with the ``PoolLoad`` of all entries.
-    take_reading : callable
+    record_local_prefill : callable
         Called with a decode engine that prefills a prompt of another entry
         locally, and for how long.
-    crashes : CrashWatch
+    crash_watch : CrashWatch
         Requests that crash upstreams.
     clock : callable
         Returns monotonic seconds.
@@ -85,9 +85,9 @@
         seeds,
         take_demand,
         report_load,
-        take_load,
-        take_reading,
-        crashes,
+        update_load,
+        record_local_prefill,
+        crash_watch,
         clock,
     ):
         """Start without a source; ``run`` subscribes."""
@@ -96,9 +96,9 @@
         self._seeds = seeds
         self._take_demand = take_demand
         self._report_load = report_load
-        self._take_load = take_load
-        self._take_reading = take_reading
-        self._crashes = crashes
+        self._update_load = update_load
+        self._record_local_prefill = record_local_prefill
+        self._crash_watch = crash_watch
         self._clock = clock
         self._distances = {}
         self._avoided_until_s = {}
@@ -119,7 +119,7 @@
                 )
             )
 
-    def tell_load(self):
+    def send_load(self):
         """Send this entry's load to the source, if it changed.
 
         An unchanged load is sent again with each heartbeat, since a load that
@@ -139,7 +139,7 @@
         sender = self._own_record().instance
         connection.notify(LoadNotice(sender=sender, load=load))
 
-    def tell_reading(self, upstream, for_s):
+    def announce_local_prefill(self, upstream, for_s):
         """Announce to all entries a local prefill for this entry."""
         connection = self._connection
         if connection is not None and connection.is_open:
@@ -148,7 +148,7 @@
                 ReadingNotice(entry=entry, upstream=upstream, for_s=for_s)
             )
 
-    def tell_crashes(self, records):
+    def publish_crashes(self, records):
         """Send records of requests that crash upstreams to all processes."""
         connection = self._connection
         if connection is not None and connection.is_open:
@@ -217,8 +217,8 @@
             before.close()
         # The instance, or the whole control plane, may have restarted and
         # lost records that this entry has.
-        if self._crashes.records:
-            self.tell_crashes(self._crashes.records)
+        if self._crash_watch.records:
+            self.publish_crashes(self._crash_watch.records)
         _log.info(
             "control-followed",
             source=address,
@@ -317,13 +317,15 @@
     @_handle_notice.register
     def _(self, message: ConfigNotice):
         first = not self._view.version
-        self._view.take_config(message.version, message.packed)
+        self._view.apply_config(message.version, message.packed)
         if first:
             self.announce()
 
     @_handle_notice.register
     def _(self, message: UpstreamsNotice):
-        self._view.take_upstreams(message.upstreams, complete=message.complete)
+        self._view.merge_upstreams(
+            message.upstreams, complete=message.complete
+        )
 
     @_handle_notice.register
     def _(self, message: SwitchingNotice):
@@ -331,16 +333,16 @@
 
     @_handle_notice.register
     def _(self, message: LoadNotice):
-        self._take_load(message.load)
+        self._update_load(message.load)
 
     @_handle_notice.register
     def _(self, message: CrashesNotice):
-        self._crashes.merge(message.records)
+        self._crash_watch.merge(message.records)
 
     @_handle_notice.register
     def _(self, message: ReadingNotice):
         if message.entry != self._own_record().instance:
-            self._take_reading(message.upstream, message.for_s)
+            self._record_local_prefill(message.upstream, message.for_s)
 
     @_handle_notice.register
     def _(self, message: SourceNotice):
--- a/currantdeal/entry/tests/test_lost_engines.py
+++ b/currantdeal/entry/tests/test_lost_engines.py
@@ -167,7 +167,7 @@
             _announce(world, engines)
             context = world.context
             record = context.view.record("d1")
-            context.eject(record, context.standings)
+            context.eject(record, context.health)
             await asyncio.sleep(1.0)
             return context.view.accepts_work("d1")
 
@@ -182,7 +182,9 @@
     """
 
     async def run():
-        async with entry_world(config=config_body(handle_s=5.0)) as world:
+        async with entry_world(
+            config=config_body(kv_handle_ttl_s=5.0)
+        ) as world:
 
             async def drains(standin, request, writer):
                 await asyncio.sleep(0.05)
@@ -206,5 +208,5 @@
 
     answer, engines = asyncio.run(run())
     assert pieces(answer) == list(range(1, EVENTS + 1))
-    reads = [r for r in engines["p1"].seen if r.method == "POST"]
-    assert len(reads) == 1
+    prefills = [r for r in engines["p1"].seen if r.method == "POST"]
+    assert len(prefills) == 1
--- a/currantdeal/entry/tests/test_resets.py
+++ b/currantdeal/entry/tests/test_resets.py
@@ -1,4 +1,4 @@
-"""Connection resets at each moment of a call, with real sockets."""
+"""Connection resets in each phase of a call, with real sockets."""
 
 import asyncio
 import socket
@@ -8,9 +8,9 @@
 
 from currantdeal.policy.reset_outcome import (
     CallKind,
-    Moment,
-    RepeatBy,
-    Told,
+    ExchangePhase,
+    RetryBy,
+    SenderResult,
     reset_outcome,
 )
 from currantdeal.registry import Stage
@@ -42,11 +42,11 @@
 STREAMS = (CallKind.STREAM, CallKind.RESUMABLE_STREAM)
 
 CASES = [
-    (kind, moment)
+    (kind, phase)
     for kind in REQUESTS
-    for moment in Moment
+    for phase in ExchangePhase
     if kind in STREAMS
-    or moment not in (Moment.BETWEEN_EVENTS, Moment.WITHIN_EVENT)
+    or phase not in (ExchangePhase.BETWEEN_EVENTS, ExchangePhase.WITHIN_EVENT)
 ]
 
 
@@ -65,9 +65,9 @@
     ``state`` is shared by the upstreams of a test, so that only one resets.
     """
 
-    def __init__(self, *, moment, state, **more):
+    def __init__(self, *, phase, state, **more):
         super().__init__(**more)
-        self._moment = moment
+        self._phase = phase
         self._state = state
 
     async def answer(self, request, writer):
@@ -76,7 +76,7 @@
             await super().answer(request, writer)
             return
         self._state["reset"] = True
-        if self._moment is not Moment.AWAITING_ANSWER:
+        if self._phase is not ExchangePhase.AWAITING_ANSWER:
             await self._answer_partly(request, writer)
         _reset(writer)
 
@@ -88,10 +88,13 @@
             )
         else:
             self.begin_stream(request, writer)
-        if self._moment in (Moment.BETWEEN_EVENTS, Moment.WITHIN_EVENT):
+        if self._phase in (
+            ExchangePhase.BETWEEN_EVENTS,
+            ExchangePhase.WITHIN_EVENT,
+        ):
             send_event(writer, 1)
             send_event(writer, 2)
-        if self._moment is Moment.WITHIN_EVENT:
+        if self._phase is ExchangePhase.WITHIN_EVENT:
             writer.write(b"9\r\nid: 3\ndat\r\n")
         await writer.drain()
         # A reset discards what the receiver has not read yet.
@@ -133,16 +136,16 @@
     return int(matching[0].partition(":")[2]) if matching else 0
 
 
-def _upstream(name, moment, state):
-    if moment is Moment.SENDING:
+def _upstream(name, phase, state):
+    if phase is ExchangePhase.SENDING:
         return _HalfReadingUpstream(upstream=name, state=state)
-    return _ResettingUpstream(upstream=name, moment=moment, state=state)
+    return _ResettingUpstream(upstream=name, phase=phase, state=state)
 
 
-async def _run_scenario(kind, moment):
+async def _run_scenario(kind, phase):
     """Return the answer to one request, and the number of runs it caused."""
     state = {}
-    standins = [_upstream(name, moment, state) for name in ("u1", "u2")]
+    standins = [_upstream(name, phase, state) for name in ("u1", "u2")]
     prefill = StandInUpstream(upstream="p1")
     async with entry_world() as world:
         for standin in (prefill, *standins):
@@ -152,30 +155,32 @@
             stage = Stage.DECODE if kind in STREAMS else None
             world.know(standin, service=service, stage=stage)
         world.know(prefill, service="model", stage=Stage.PREFILL)
-        if moment is Moment.CONNECTING:
+        if phase is ExchangePhase.CONNECTING:
             for standin in standins:
                 standin.stop()
         answer = await world.ask(REQUESTS[kind])
     runs = sum(len(standin.runs) for standin in standins)
-    return answer, runs + (moment is Moment.SENDING and bool(state["reset"]))
+    return answer, runs + (
+        phase is ExchangePhase.SENDING and bool(state["reset"])
+    )
 
 
-@pytest.mark.parametrize(("kind", "moment"), CASES)
-def test_reset_has_the_outcome_of_the_table(kind, moment):
+@pytest.mark.parametrize(("kind", "phase"), CASES)
+def test_reset_has_the_outcome_of_the_table(kind, phase):
     """Guards against a wrong outcome at the caller after a reset.
 
-    Whether the call may have run depends on its kind and on the moment of the
+    Whether the call may have run depends on its kind and on the phase at the
     reset.  A wrong "not run" leads the caller to run a call twice.
     """
-    expected = reset_outcome(kind, moment)
-    answer, runs = asyncio.run(_run_scenario(kind, moment))
+    expected = reset_outcome(kind, phase)
+    answer, runs = asyncio.run(_run_scenario(kind, phase))
     status = answer[9:12]
-    if moment is Moment.CONNECTING:
+    if phase is ExchangePhase.CONNECTING:
         assert (runs, status) == (0, b"503")
         assert b"retry-after" in answer.lower()
-    elif expected.repeat_by is RepeatBy.NOBODY:
+    elif expected.retry_by is RetryBy.NOBODY:
         assert runs == 1
-        if expected.told is Told.CUT:
+        if expected.sender_result is SenderResult.CUT:
             assert pieces(answer) == [1, 2]
             assert not answer.endswith(b"0\r\n\r\n")
         else:
--- a/currantdeal/entry/tests/test_subscription.py
+++ b/currantdeal/entry/tests/test_subscription.py
@@ -7,7 +7,7 @@
 from currantdeal.entry.view import EntryView
 from currantdeal.node.messages import CrashesNotice
 from currantdeal.platform.config import decode_config
-from currantdeal.policy.crash_book import Crash, SuspectRecord
+from currantdeal.policy.crash_registry import Crash, SuspectRecord
 from currantdeal.policy.shared_load import EntryLoad
 from currantdeal.registry.tests.builders import an_entry
 from currantdeal.testing.control_standin import StandInControl
@@ -47,9 +47,9 @@
         seeds=lambda: [c.address for c in seeds],
         take_demand=dict,
         report_load=lambda: load.report(unreachable=()),
-        take_load=lambda sums: load.take(sums, now_s=loop.time()),
-        take_reading=lambda upstream, for_s: None,
-        crashes=crashes or _Crashes(),
+        update_load=lambda sums: load.update_sums(sums, now_s=loop.time()),
+        record_local_prefill=lambda upstream, for_s: None,
+        crash_watch=crashes or _Crashes(),
         clock=loop.time,
     )
     task = asyncio.ensure_future(subscription.run())
--- a/currantdeal/entry/tests/test_view.py
+++ b/currantdeal/entry/tests/test_view.py
@@ -31,25 +31,25 @@
     Requests would be handled by routes that an operator has replaced.
     """
     view = _view()
-    view.take_config(5, _packed(5))
-    view.take_config(4, _packed(4))
+    view.apply_config(5, _packed(5))
+    view.apply_config(4, _packed(4))
     assert view.version == 5
 
 
 def test_an_unreadable_configuration_changes_nothing():
     view = _view()
-    view.take_config(5, _packed(5))
-    view.take_config(6, b"not compressed")
-    view.take_config(7, zlib.compress(b"{}"))
+    view.apply_config(5, _packed(5))
+    view.apply_config(6, b"not compressed")
+    view.apply_config(7, zlib.compress(b"{}"))
     assert view.version == 5
 
 
 def test_a_draining_upstream_gets_no_work():
     view = _view()
-    view.take_upstreams((an_upstream(),), complete=False)
+    view.merge_upstreams((an_upstream(),), complete=False)
     assert view.accepts_work("u1")
     draining = an_upstream(sequence=2, state=UpstreamState.DRAINING)
-    view.take_upstreams((draining,), complete=False)
+    view.merge_upstreams((draining,), complete=False)
     assert view.ready("shop") == ()
     assert not view.accepts_work("u1")
 
@@ -63,10 +63,10 @@
     """
     view = _view()
     first, second = an_upstream(), an_upstream(upstream="u2", address="a:2")
-    view.take_upstreams((first, second), complete=True)
-    view.take_upstreams((first,), complete=False)
+    view.merge_upstreams((first, second), complete=True)
+    view.merge_upstreams((first,), complete=False)
     assert len(view.ready("shop")) == 2
-    view.take_upstreams((first,), complete=True)
+    view.merge_upstreams((first,), complete=True)
     assert [r.upstream for r in view.ready("shop")] == ["u1"]
 
 
@@ -87,12 +87,12 @@
     """
     view = _view()
     engine = an_upstream(stage=Stage.DECODE)
-    view.take_upstreams((engine,), complete=False)
+    view.merge_upstreams((engine,), complete=False)
     assert view.engines("shop", Stage.DECODE) == [engine]
     view.note_switching("u1", 9.0)
     assert view.engines("shop", Stage.DECODE) == []
     switched = an_upstream(stage=Stage.PREFILL, sequence=2)
-    view.take_upstreams((switched,), complete=False)
+    view.merge_upstreams((switched,), complete=False)
     assert view.engines("shop", Stage.PREFILL) == [switched]
 
 
@@ -104,13 +104,13 @@
     time, it would idle for twenty seconds.
     """
     view = _view()
-    view.take_upstreams(
+    view.merge_upstreams(
         (an_upstream(stage=Stage.DECODE, started_ms=1),), complete=False
     )
     view.note_switching("u1", 20.0)
     assert view.engines("shop", Stage.DECODE) == []
     restarted = an_upstream(stage=Stage.DECODE, started_ms=2)
-    view.take_upstreams((restarted,), complete=False)
+    view.merge_upstreams((restarted,), complete=False)
     assert view.engines("shop", Stage.DECODE) == [restarted]
 
 
@@ -122,7 +122,7 @@
     """
     view = _view()
     engine = an_upstream(stage=Stage.DECODE)
-    view.take_upstreams((engine,), complete=False)
+    view.merge_upstreams((engine,), complete=False)
     view.drop_if_replaced(engine, "u1")
     assert view.pop_replaced() == ()
     view.drop_if_replaced(engine, "u9")
--- a/currantdeal/entry/view.py
+++ b/currantdeal/entry/view.py
@@ -50,7 +50,7 @@
         self._region_of = region_of
         self._registry = UpstreamRegistry(heartbeat_s=heartbeat_s)
         self._clock = clock
-        self._table = None
+        self._route_table = None
         self._by_service = {}
         self._switching = {}
         self._replaced = []
@@ -58,19 +58,21 @@
         self.confirmed_s = clock()
 
     @property
-    def table(self):
+    def route_table(self):
         """The ``RouteTable`` in force; None before the first configuration."""
-        return self._table
+        return self._route_table
 
     @property
     def version(self):
         """Version of the configuration in force; 0 before the first."""
-        return self._table.version if self._table else 0
+        return self._route_table.version if self._route_table else 0
 
     @property
     def limits(self):
         """Limits on the requests of callers."""
-        return self._table.limits if self._table else CallerLimits()
+        return (
+            self._route_table.limits if self._route_table else CallerLimits()
+        )
 
     @property
     def age_s(self):
@@ -96,7 +98,7 @@
 
     def health_path(self, service):
         """Return the health check path of a service; None if unknown."""
-        services = self._table.services if self._table else ()
+        services = self._route_table.services if self._route_table else ()
         paths = (s.health_path for s in services if s.name == service)
         return next(paths, None)
 
@@ -153,7 +155,7 @@
         """Return ``distance`` between two upstreams."""
         return self._distance(first.data_center, second.data_center)
 
-    def take_config(self, version, packed):
+    def apply_config(self, version, packed):
         """Apply a committed configuration if it is newer."""
         if version <= self.version:
             return
@@ -163,10 +165,10 @@
             _log.error("config-unreadable", version=version, why=str(exc))
             return
         before = self.version
-        self._table = RouteTable(config=config)
+        self._route_table = RouteTable(config=config)
         _log.info("config-in-force", version=version, before=before)
 
-    def take_upstreams(self, records, *, complete):
+    def merge_upstreams(self, records, *, complete):
         """Merge records; if they are complete, remove all other upstreams."""
         now_s = self._clock()
         for record in records:
--- a/currantdeal/membership/home.py
+++ b/currantdeal/membership/home.py
@@ -12,7 +12,12 @@
 
 from currantdeal.core import FencingNumber, GrantId, InstanceId, RequestId
 from currantdeal.membership.home_messages import HomeRefusal
-from currantdeal.policy import Ask, Ledger, LedgerLimits, LedgerRefusal
+from currantdeal.policy import (
+    Ledger,
+    LedgerLimits,
+    LedgerRefusal,
+    LedgerRequest,
+)
 from currantdeal.ports import Grant
 
 PAUSED_RETRY_S = 0.5
@@ -150,7 +155,9 @@
         if report.prefill_tokens_per_s > 0 and not self._prefill_rate:
             self._prefill_rate = report.prefill_tokens_per_s
             self._rebuild_ledger(now_s)
-        self._ledger.hear(running=report.running, step_s=report.step_s)
+        self._ledger.record_report(
+            running=report.running, step_s=report.step_s
+        )
         return True
 
     def reset_timeout(self, now_s):
@@ -166,7 +173,7 @@
                 message="an order waits for running work to finish",
                 retry_after_s=PAUSED_RETRY_S,
             )
-        outcome = self._ledger.reserve(_ask_of(request), now_s=now_s)
+        outcome = self._ledger.reserve(_ledger_request(request), now_s=now_s)
         if isinstance(outcome, LedgerRefusal):
             return HomeRefusal(
                 message="the upstream is full",
@@ -208,15 +215,17 @@
 
     def adopt(self, claimed, now_s):
         """Add a reservation that an entry claims to hold to the ledger."""
-        ask = replace(_ask_of(claimed.request), pieces=claimed.pieces)
-        if ask.request_id not in self._granted_s:
-            self._granted_s[ask.request_id] = now_s
-            self._ledger.adopt(ask, now_s=now_s)
+        request = replace(
+            _ledger_request(claimed.request), pieces=claimed.pieces
+        )
+        if request.request_id not in self._granted_s:
+            self._granted_s[request.request_id] = now_s
+            self._ledger.restore(request, now_s=now_s)
 
     def drop_entry(self, entry):
         """Release all grants of an entry and return their request ids."""
-        released = self._ledger.drop_entry(entry)
-        names = [grant.ask.request_id for grant in released]
+        released = self._ledger.release_entry(entry)
+        names = [grant.request.request_id for grant in released]
         for name in names:
             self._granted_s.pop(name, None)
         return names
@@ -244,8 +253,8 @@
         grants = self._ledger.grants
         self._ledger = self._new_ledger()
         for grant in grants:
-            ask = replace(grant.ask, pieces=grant.pieces)
-            self._ledger.adopt(ask, now_s=now_s)
+            request = replace(grant.request, pieces=grant.pieces)
+            self._ledger.restore(request, now_s=now_s)
 
     def _new_ledger(self):
         limits = LedgerLimits(
@@ -257,8 +266,8 @@
         return Ledger(limits=limits)
 
 
-def _ask_of(request):
-    return Ask(
+def _ledger_request(request):
+    return LedgerRequest(
         request_id=request.request_id,
         caller=request.caller,
         entry=request.entry,
--- a/currantdeal/membership/home_book.py
+++ b/currantdeal/membership/home_book.py
@@ -306,10 +306,10 @@
 
     def _reservation_keys(self, entry):
         return [
-            (home.upstream.upstream_id, grant.ask.request_id)
+            (home.upstream.upstream_id, grant.request.request_id)
             for home in self._homes.values()
             for grant in home.grants
-            if grant.ask.entry == entry
+            if grant.request.entry == entry
         ]
 
     def _lost_reservations(self, heartbeat):
--- a/currantdeal/node/connection_pool.py
+++ b/currantdeal/node/connection_pool.py
@@ -18,7 +18,7 @@
 )
 from currantdeal.node.http_client import UpstreamConnection
 from currantdeal.node.settings import split_address
-from currantdeal.policy.reset_outcome import Moment
+from currantdeal.policy.reset_outcome import ExchangePhase
 
 CONNECT_TIMEOUT_S = 0.8
 """Timeout for opening a connection.
@@ -165,7 +165,7 @@
         connection.close()
         raise SilentUpstreamError(
             f"no answer from {connection.address} in {timeout_s:.2f} s",
-            moment=Moment.AWAITING_ANSWER,
+            phase=ExchangePhase.AWAITING_ANSWER,
         ) from None
     except BaseException:
         connection.close()
--- a/currantdeal/node/dialect.py
+++ b/currantdeal/node/dialect.py
@@ -19,7 +19,7 @@
     ----------
     request_id : str
         The caller's id of this attempt; empty if missing.
-    patience_s : float or None
+    caller_timeout_s : float or None
         Time that the caller waits for the response; None if it names none.
     prompt_tokens, max_output_tokens : int
         Size of a generation; 0 if the request is not a generation.
@@ -33,7 +33,7 @@
     """
 
     request_id: str
-    patience_s: float | None
+    caller_timeout_s: float | None
     prompt_tokens: int = 0
     max_output_tokens: int = 0
     expected_output_tokens: int = 0
--- a/currantdeal/node/errors.py
+++ b/currantdeal/node/errors.py
@@ -1,7 +1,7 @@
 """Errors raised by this package, which runs on the event loop."""
 
 from currantdeal.core.errors import CurrantdealError
-from currantdeal.policy.reset_outcome import Moment
+from currantdeal.policy.reset_outcome import ExchangePhase
 
 
 class NodeError(CurrantdealError):
@@ -23,19 +23,19 @@
     ----------
     message : str
         Description of the failure.
-    moment : Moment
+    phase : ExchangePhase
         Phase of the exchange in which it failed.
     """
 
-    def __init__(self, message, *, moment):
+    def __init__(self, message, *, phase):
         """Store the message and the phase."""
         super().__init__(message)
-        self.moment = moment
+        self.phase = phase
 
     @property
     def sent(self):
         """True if any of the request was written, so that it may have run."""
-        return self.moment is not Moment.CONNECTING
+        return self.phase is not ExchangePhase.CONNECTING
 
 
 class ConnectError(ExchangeError):
@@ -43,7 +43,7 @@
 
     def __init__(self, message):
         """Store the message; no part of the request was written."""
-        super().__init__(message, moment=Moment.CONNECTING)
+        super().__init__(message, phase=ExchangePhase.CONNECTING)
 
 
 class ConnectRefusedError(ConnectError):
--- a/currantdeal/node/http_client.py
+++ b/currantdeal/node/http_client.py
@@ -14,7 +14,7 @@
 from currantdeal.node.errors import BrokenAnswerError
 from currantdeal.node.head import ReplyHead
 from currantdeal.node.sockets import prepare_socket
-from currantdeal.policy.reset_outcome import Moment
+from currantdeal.policy.reset_outcome import ExchangePhase
 
 IDLE_REUSE_S = 4.0
 """Maximum idle time after which any request may be sent on a connection.
@@ -57,7 +57,7 @@
         self._events = deque()
         self._waiter = None
         self._close_reason = None
-        self._moment = Moment.CONNECTING
+        self._phase = ExchangePhase.CONNECTING
         self._unread = 0
         self._paused = False
         self._idle_since_s = 0.0
@@ -73,20 +73,20 @@
 
     def pause_writing(self):
         """Record that a part of the request is not yet written."""
-        if self._moment is Moment.AWAITING_ANSWER:
-            self._moment = Moment.SENDING
+        if self._phase is ExchangePhase.AWAITING_ANSWER:
+            self._phase = ExchangePhase.SENDING
 
     def resume_writing(self):
         """Record that the whole request is written."""
-        if self._moment is Moment.SENDING:
-            self._moment = Moment.AWAITING_ANSWER
+        if self._phase is ExchangePhase.SENDING:
+            self._phase = ExchangePhase.AWAITING_ANSWER
 
     def data_received(self, data):
         """Parse received data; unsolicited data closes the connection."""
         if self._http.our_state is h11.IDLE:
             self._fail("received bytes without a pending request")
             return
-        self._moment = Moment.WITHIN_ANSWER
+        self._phase = ExchangePhase.WITHIN_ANSWER
         try:
             self._http.receive_data(data)
             self._parse()
@@ -129,7 +129,7 @@
         """Write a request."""
         self.used = True
         self._reusable = False
-        self._moment = Moment.AWAITING_ANSWER
+        self._phase = ExchangePhase.AWAITING_ANSWER
         head = h11.Request(
             method=outgoing.method,
             target=outgoing.target,
@@ -212,8 +212,8 @@
         while not self._events:
             if self._close_reason is not None:
                 raise BrokenAnswerError(
-                    f"{self._close_reason} ({self._moment.value})",
-                    moment=self._moment,
+                    f"{self._close_reason} ({self._phase.value})",
+                    phase=self._phase,
                 )
             self._waiter = self._loop.create_future()
             try:
--- a/currantdeal/node/http_server.py
+++ b/currantdeal/node/http_server.py
@@ -157,7 +157,7 @@
         if self._request_started_s is None:
             self._request_started_s = self._loop.time()
             if self._task is None:
-                limit = self._server.limits().head_timeout_s
+                limit = self._server.limits().header_timeout_s
                 self._set_timer(limit, self._request_timed_out)
         self._head_bytes += data
         self._advance()
@@ -219,7 +219,7 @@
     def _receive_head(self):
         while self._head_bytes.startswith(b"\r\n"):
             del self._head_bytes[:2]
-        limit = self._server.limits().max_head_bytes
+        limit = self._server.limits().max_header_bytes
         end = self._head_bytes.find(b"\r\n\r\n")
         if end < 0:
             if len(self._head_bytes) > limit:
@@ -312,7 +312,7 @@
             self._transport.resume_reading()
         if self._head_bytes:
             self._request_started_s = self._loop.time()
-            limit = self._server.limits().head_timeout_s
+            limit = self._server.limits().header_timeout_s
             self._set_timer(limit, self._request_timed_out)
             self._advance()
         else:
--- a/currantdeal/node/messages.py
+++ b/currantdeal/node/messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from currantdeal.core import Codec
-from currantdeal.policy.crash_book import SuspectRecord
+from currantdeal.policy.crash_registry import SuspectRecord
 from currantdeal.policy.demand import Demand
 from currantdeal.policy.shared_load import PoolLoad
 from currantdeal.registry import EntryRecord, UpstreamRecord
--- a/currantdeal/node/suspect_log.py
+++ b/currantdeal/node/suspect_log.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 from currantdeal.node.fingerprint import shown
-from currantdeal.policy.crash_book import EARLY_WEIGHT
+from currantdeal.policy.crash_registry import EARLY_WEIGHT
 
 
 class _Status(str, Enum):
@@ -22,14 +22,14 @@
     ----------
     log : structlog.stdlib.BoundLogger
         Logger of the module that keeps the records.
-    book : currantdeal.policy.crash_book.CrashBook
+    crash_registry : currantdeal.policy.crash_registry.CrashRegistry
         The records from which the status is derived.
     """
 
-    def __init__(self, *, log, book):
+    def __init__(self, *, log, crash_registry):
         """Start with every request clear."""
         self._log = log
-        self._book = book
+        self._crash_registry = crash_registry
         self._statuses = {}
 
     def __len__(self):
@@ -41,7 +41,7 @@
 
         Parameters
         ----------
-        changed : iterable of currantdeal.policy.crash_book.SuspectRecord
+        changed : iterable of currantdeal.policy.crash_registry.SuspectRecord
             Present state of the records that have changed.
         """
         for record in changed:
@@ -51,7 +51,7 @@
                 self._statuses[record.fingerprint] = after
             if after is not before:
                 self._write(after, record)
-        if len(self._statuses) > 2 * len(self._book):
+        if len(self._statuses) > 2 * len(self._crash_registry):
             self._remove_dropped()
 
     def _remove_dropped(self):
@@ -59,13 +59,13 @@
         self._statuses = {
             fingerprint: status
             for fingerprint, status in self._statuses.items()
-            if self._book.is_suspect(fingerprint)
+            if self._crash_registry.is_suspect(fingerprint)
         }
 
     def _current_status(self, fingerprint):
-        if self._book.is_quarantined(fingerprint):
+        if self._crash_registry.is_quarantined(fingerprint):
             return _Status.QUARANTINED
-        if self._book.score(fingerprint) > EARLY_WEIGHT:
+        if self._crash_registry.score(fingerprint) > EARLY_WEIGHT:
             return _Status.SUSPECTED
         return _Status.CLEAR
 
@@ -74,5 +74,5 @@
             status.value,
             fingerprint=shown(record.fingerprint),
             upstreams=[crash.upstream for crash in record.crashes],
-            score=self._book.score(record.fingerprint),
+            score=self._crash_registry.score(record.fingerprint),
         )
--- a/currantdeal/node/tests/test_suspect_log.py
+++ b/currantdeal/node/tests/test_suspect_log.py
@@ -2,27 +2,27 @@
 from structlog.testing import capture_logs
 
 from currantdeal.node.suspect_log import SuspectLog
-from currantdeal.policy import crash_book
-from currantdeal.policy.crash_book import Crash, CrashBook
+from currantdeal.policy import crash_registry
+from currantdeal.policy.crash_registry import Crash, CrashRegistry
 
 
 def _events(steps):
     """Return the events logged while the steps change the records."""
-    book = CrashBook()
+    registry = CrashRegistry()
     with capture_logs() as lines:
-        log = SuspectLog(log=structlog.get_logger(), book=book)
+        log = SuspectLog(log=structlog.get_logger(), crash_registry=registry)
         for step in steps:
-            log.note(step(book))
+            log.note(step(registry))
     return [line["event"] for line in lines]
 
 
 def _crash(number, **more):
     crash = Crash(upstream=f"u{number}", started_ms=1, **more)
-    return lambda book: book.add_crash(b"poison", crash)
+    return lambda registry: registry.add_crash(b"poison", crash)
 
 
-def _completed(book):
-    return book.add_completion(b"poison")
+def _completed(registry):
+    return registry.add_completion(b"poison")
 
 
 def test_each_change_of_status_is_logged_once():
@@ -36,15 +36,15 @@
 
 def test_statuses_of_dropped_records_are_removed(monkeypatch):
     """Guards against memory that grows with the number of suspects."""
-    monkeypatch.setattr(crash_book, "MAX_QUARANTINED", 10)
-    book = CrashBook()
-    log = SuspectLog(log=structlog.get_logger(), book=book)
+    monkeypatch.setattr(crash_registry, "MAX_QUARANTINED", 10)
+    registry = CrashRegistry()
+    log = SuspectLog(log=structlog.get_logger(), crash_registry=registry)
     with capture_logs():
         for number in range(300):
             crash = Crash(upstream=f"u{number}", started_ms=1)
-            log.note(book.add_crash(b"%d" % (number // 3), crash))
-    assert len(book) == 10
-    assert len(log) <= 2 * len(book)
+            log.note(registry.add_crash(b"%d" % (number // 3), crash))
+    assert len(registry) == 10
+    assert len(log) <= 2 * len(registry)
 
 
 def test_crash_without_a_change_of_status_is_not_logged():
--- a/currantdeal/platform/calls.py
+++ b/currantdeal/platform/calls.py
@@ -45,7 +45,7 @@
         )
         return CallerRequest(
             request_id=_header_text(head, header_names.REQUEST_ID),
-            patience_s=_parse_seconds(
+            caller_timeout_s=_parse_seconds(
                 _header_text(head, header_names.DEADLINE)
             ),
             prompt_tokens=prompt,
--- a/currantdeal/platform/config.py
+++ b/currantdeal/platform/config.py
@@ -7,7 +7,7 @@
 from currantdeal.routing import (
     CallerLimits,
     EngineTraits,
-    Repeat,
+    RetrySafety,
     Route,
     RoutingConfig,
     Service,
@@ -93,13 +93,13 @@
         host=parsed.Hostname,
         prefix=parsed.PathPrefix,
         services=_weighted_services(parsed),
-        repeat=_repeat(parsed),
+        retry_safety=_retry_safety(parsed),
         streaming=parsed.RouteType == "streaming",
         timeout_s=parsed.TimeoutMs / _MS,
         target_s=parsed.TargetLatencyMs / _MS,
-        pause_target_s=parsed.ItlTargetMs / _MS,
+        gap_target_s=parsed.ItlTargetMs / _MS,
         max_upstreams=max(1, parsed.MaxAttempts),
-        rank=parsed.Priority,
+        priority=parsed.Priority,
     )
 
 
@@ -114,12 +114,12 @@
     return (WeightedService(service=parsed.Service, weight=1.0),)
 
 
-def _repeat(parsed):
+def _retry_safety(parsed):
     if parsed.RouteType == "idempotent":
-        return Repeat.FREELY
+        return RetrySafety.FREELY
     if parsed.RouteType == "streaming" and parsed.Resumable:
-        return Repeat.RESUMABLE
-    return Repeat.ONCE
+        return RetrySafety.RESUMABLE
+    return RetrySafety.ONCE
 
 
 def _service(parsed):
@@ -139,14 +139,14 @@
         hold_s=parsed.HoldMs / _MS,
         tokens_per_event=parsed.Stride,
         switch_s=parsed.SwitchS,
-        handle_s=parsed.HandleTtlS,
+        kv_handle_ttl_s=parsed.HandleTtlS,
     )
 
 
 def _limits(parsed):
     return CallerLimits(
-        max_head_bytes=parsed.MaxHeaderBytes,
+        max_header_bytes=parsed.MaxHeaderBytes,
         max_body_bytes=parsed.MaxBodyBytes,
-        head_timeout_s=parsed.HeaderTimeoutMs / _MS,
+        header_timeout_s=parsed.HeaderTimeoutMs / _MS,
         idle_timeout_s=parsed.IdleTimeoutMs / _MS,
     )
--- a/currantdeal/platform/tests/test_control.py
+++ b/currantdeal/platform/tests/test_control.py
@@ -13,7 +13,7 @@
 from currantdeal.node.head import RequestHead
 from currantdeal.platform.control import PlatformControl
 from currantdeal.registry import Stage, UpstreamState
-from currantdeal.routing import Repeat
+from currantdeal.routing import RetrySafety
 from currantdeal.testing.entry_world import config_body
 
 HEARTBEAT = {
@@ -117,18 +117,18 @@
 def test_configuration_is_decoded_into_own_types():
     config = DIALECT.read_config(config_body(version=7, timeout_ms=1500))
     assert config.version == 7
-    repeats = {route.name: route.repeat for route in config.routes}
-    assert repeats == {
-        "menu": Repeat.FREELY,
-        "order": Repeat.ONCE,
-        "note": Repeat.ONCE,
-        "draft": Repeat.RESUMABLE,
+    retry_safety = {route.name: route.retry_safety for route in config.routes}
+    assert retry_safety == {
+        "menu": RetrySafety.FREELY,
+        "order": RetrySafety.ONCE,
+        "note": RetrySafety.ONCE,
+        "draft": RetrySafety.RESUMABLE,
     }
     assert {route.timeout_s for route in config.routes} == {1.5}
     (model,) = [s for s in config.services if s.engine is not None]
     assert model.engine.kv_tokens == 30_000
     assert model.engine.hold_s == 2.0
-    assert config.limits.max_head_bytes == 4_096
+    assert config.limits.max_header_bytes == 4_096
 
 
 @pytest.mark.parametrize(
--- a/currantdeal/policy/__init__.py
+++ b/currantdeal/policy/__init__.py
@@ -17,31 +17,31 @@
 from currantdeal.policy.estimates import Estimates
 from currantdeal.policy.fair_queue import FairQueue, Queued
 from currantdeal.policy.ledger import (
-    Ask,
     Ledger,
     LedgerGrant,
     LedgerLimits,
     LedgerRefusal,
+    LedgerRequest,
 )
 from currantdeal.policy.lengths import OutputLengths
 from currantdeal.policy.load_view import LoadEstimate, LoadView
 from currantdeal.policy.outliers import (
+    OutlierDetector,
     SlownessStats,
-    SlowUpstreams,
-    slow_group,
+    peer_group,
 )
 from currantdeal.policy.placement import Choice, Placement
 from currantdeal.policy.plans import GiveUp, Plan, Pools, Wait
-from currantdeal.policy.prefixes import BLOCK_TOKENS, PrefixHints
+from currantdeal.policy.prefix_hints import BLOCK_TOKENS, PrefixHints
 from currantdeal.policy.retry import RetryBudget, RetryDecision
 from currantdeal.policy.scheduler import Scheduler
-from currantdeal.policy.waiters import Waiter, Waiters
+from currantdeal.policy.waiters import Waiter, WaitQueue
 from currantdeal.policy.weights import EVEN_WEIGHTS, UserWeights
 
 __all__ = [
     "Admission",
     "Admitted",
-    "Ask",
+    "LedgerRequest",
     "BLOCK_TOKENS",
     "BatchLimit",
     "Choice",
@@ -65,12 +65,12 @@
     "RetryBudget",
     "RetryDecision",
     "Scheduler",
-    "SlowUpstreams",
+    "OutlierDetector",
     "SlownessStats",
     "StartRate",
     "UserWeights",
     "Wait",
     "Waiter",
-    "Waiters",
-    "slow_group",
+    "WaitQueue",
+    "peer_group",
 ]
--- a/currantdeal/policy/admission.py
+++ b/currantdeal/policy/admission.py
@@ -122,7 +122,7 @@
     >>> from currantdeal.policy import Admission
     >>> admission = Admission(rng=Random(1))
     >>> admission.decide(time_left_s=2.0, cost_ahead_s=1.0, cost_s=0.5,
-    ...                  queued_s=1.0, rate_per_s=1.0, path_s=0.5)
+    ...                  queued_s=1.0, rate_per_s=1.0, first_output_s=0.5)
     Admitted(predicted_s=1.5)
     """
 
@@ -142,7 +142,7 @@
         cost_s,
         queued_s,
         rate_per_s,
-        path_s,
+        first_output_s,
     ):
         """Return ``Admitted`` or ``Refused``.
 
@@ -158,12 +158,12 @@
             Engine time of all queued work, in seconds.
         rate_per_s : float
             Engine time started per second.
-        path_s : float
+        first_output_s : float
             Time from start to first output (prefill, transfer and first
             step), in seconds.
         """
         wait_s = cost_ahead_s / max(rate_per_s, 1e-6)
-        predicted_s = wait_s + path_s
+        predicted_s = wait_s + first_output_s
         if queued_s + cost_s > self._max_queued_s:
             excess_s = queued_s + cost_s - self._max_queued_s
             return self._refuse("the queue is full", excess_s / rate_per_s)
--- a/currantdeal/policy/crash_book.py
+++ b/currantdeal/policy/crash_registry.py
@@ -18,7 +18,7 @@
 is run again; if it crashes that release, too, it stays in quarantine for all
 later releases.
 
-Records only grow, and merging them is commutative: two books that have
+Records only grow, and merging them is commutative: two registries that have
 exchanged their records have the same state, whatever the order of delivery.
 This needs neither a leader nor a clock.
 """
@@ -42,7 +42,8 @@
 """Limit of quarantined requests; the least recently changed is dropped."""
 
 MAX_SUSPECTS = 512
-"""Limit of other requests in a book; one with the lowest score is dropped."""
+"""Limit of other requests in a registry; the one with the lowest score is
+dropped."""
 
 MAX_CRASHES = 32
 """Limit of crashes, and of cleared crashes, that are kept per request."""
@@ -95,19 +96,19 @@
     cleared: tuple[Crash, ...] = ()
 
 
-class CrashBook:
+class CrashRegistry:
     """Crash history of all requests, as one process has it.
 
     Examples
     --------
-    >>> book = CrashBook()
+    >>> registry = CrashRegistry()
     >>> for name in ("u1", "u2", "u3"):
     ...     crash = Crash(upstream=name, started_ms=1)
-    ...     _ = book.add_crash(b"poison", crash)
-    >>> book.is_quarantined(b"poison")
+    ...     _ = registry.add_crash(b"poison", crash)
+    >>> registry.is_quarantined(b"poison")
     True
-    >>> _ = book.add_completion(b"poison")
-    >>> book.is_quarantined(b"poison")
+    >>> _ = registry.add_completion(b"poison")
+    >>> registry.is_quarantined(b"poison")
     False
     """
 
@@ -124,11 +125,11 @@
 
     @property
     def records(self):
-        """All ``SuspectRecord`` of this book."""
+        """All ``SuspectRecord`` of this registry."""
         return tuple(s.record for s in self._suspects.values())
 
     def __len__(self):
-        """Return the number of requests in the book."""
+        """Return the number of requests in the registry."""
         return len(self._suspects)
 
     def is_quarantined(self, fingerprint):
@@ -192,7 +193,7 @@
         )
 
     def merge(self, records):
-        """Merge records of another book; returns those that changed here."""
+        """Merge the records of another registry; returns the changed ones."""
         changed = {}
         for record in records:
             suspect = self._merge_one(record)
@@ -329,7 +330,7 @@
 
 
 def _keep_latest(crashes):
-    """Return the latest crashes, the same ones in every book."""
+    """Return the latest crashes, the same ones in every registry."""
     if len(crashes) <= MAX_CRASHES:
         return crashes
     order = sorted(crashes, key=lambda key: (key[1], key[0]), reverse=True)
--- a/currantdeal/policy/decode_memory.py
+++ b/currantdeal/policy/decode_memory.py
@@ -15,7 +15,7 @@
 import math
 from dataclasses import dataclass
 
-from currantdeal.policy.spread_choice import order_groups_by_choices
+from currantdeal.policy.power_of_choices import order_groups_by_choices
 
 OUTPUT_SHARE = 0.5
 """Share of the expected output that is reserved."""
@@ -26,7 +26,7 @@
 FULL_ENGINE_BACKOFF_S = 0.15
 """Time for which an engine that refused a reservation comes last."""
 
-FULL = 0.95
+MAX_FILL = 0.95
 """Share of an engine's memory that all its reservations may use.
 
 A reservation is the mean size of a stream over its life; the rest is headroom
@@ -93,7 +93,7 @@
     return min(needed, kv_tokens) if kv_tokens else needed
 
 
-class DecodeMemory:
+class DecodeEngineOrder:
     """Orders decode engines for the reservations of one entry.
 
     Parameters
@@ -106,13 +106,13 @@
     >>> from random import Random
     >>> from currantdeal.policy.shared_load import EntryLoad
     >>> load = EntryLoad()
-    >>> memory = DecodeMemory(load=load)
-    >>> load.began("d1", 12_000)
-    >>> memory.order(["d1", "d2"], tokens=4000, capacity=30_000,
+    >>> engine_order = DecodeEngineOrder(load=load)
+    >>> load.add("d1", 12_000)
+    >>> engine_order.order(["d1", "d2"], tokens=4000, capacity=30_000,
     ...              distance=lambda u: 0, random=Random(1), now_s=0.0)
     ['d2', 'd1']
-    >>> memory.refused("d2", now_s=0.0)
-    >>> memory.order(["d1", "d2"], tokens=4000, capacity=30_000,
+    >>> engine_order.record_refusal("d2", now_s=0.0)
+    >>> engine_order.order(["d1", "d2"], tokens=4000, capacity=30_000,
     ...              distance=lambda u: 0, random=Random(1), now_s=0.1)
     ['d1', 'd2']
     """
@@ -122,7 +122,7 @@
         self._load = load
         self._refused_s = {}
 
-    def refused(self, upstream, *, now_s):
+    def record_refusal(self, upstream, *, now_s):
         """Record that an engine refused a reservation."""
         self._refused_s[upstream] = now_s
 
@@ -135,8 +135,8 @@
         distance,
         random,
         now_s,
-        full=FULL,
-        reading=None,
+        max_fill=MAX_FILL,
+        prefilling=None,
         connected=None,
     ):
         """Return engines in the order in which to request memory.
@@ -154,10 +154,10 @@
         distance : callable
             0 for an engine in this data centre, 1 in this region, 2
             elsewhere.
-        full : float
+        max_fill : float
             Share of its memory up to which an engine has room; an idle engine
             always has.
-        reading : callable or None
+        prefilling : callable or None
             Whether an engine prefills a prompt that this one would wait for.
         connected : callable or None
             Whether there is an open connection to an engine.
@@ -168,7 +168,7 @@
 
         def has_room(upstream):
             held = load.tokens(upstream, now_s=now_s)
-            return not held or held + tokens <= full * memory_tokens
+            return not held or held + tokens <= max_fill * memory_tokens
 
         def is_deferred(upstream):
             since_refusal_s = now_s - self._refused_s.get(upstream, -math.inf)
@@ -182,7 +182,7 @@
                 continue
             far = distance(upstream) == 2
             is_connected = connected is not None and connected(upstream)
-            busy = reading is not None and reading(upstream)
+            busy = prefilling is not None and prefilling(upstream)
             costs[upstream] = (
                 load.tokens(upstream, now_s=now_s) / memory_tokens
                 + CROSS_REGION_SHARE * far
@@ -198,7 +198,7 @@
                 groups[deferred].values(),
                 cost=costs.get,
                 random=random,
-                unseen=load.unseen(tokens, now_s=now_s),
+                unreported=load.unreported(tokens, now_s=now_s),
                 jitter=JITTER_SHARE,
             )
         ]
--- a/currantdeal/policy/demand.py
+++ b/currantdeal/policy/demand.py
@@ -77,9 +77,9 @@
     Examples
     --------
     >>> meter = DemandMeter()
-    >>> meter.read(1000, 0.1)
-    >>> meter.offer()
-    >>> meter.end(3000, 2.0)
+    >>> meter.record_prefill(1000, 0.1)
+    >>> meter.record_offered()
+    >>> meter.record_completed(3000, 2.0)
     >>> meter.take()  # doctest: +NORMALIZE_WHITESPACE
     Demand(offered=1, ended=1, prompt_tokens=1000, s_per_token=0.0001,
            memory_token_s=6000.0)
@@ -97,11 +97,11 @@
         """Time in which an idle engine prefills a token; None if unknown."""
         return self._s_per_token
 
-    def offer(self):
+    def record_offered(self):
         """Record a generation that a caller requested."""
         self._demand += Demand(offered=1)
 
-    def read(self, prompt_tokens, took_s):
+    def record_prefill(self, prompt_tokens, took_s):
         """Record that a prefill engine prefilled a prompt."""
         if prompt_tokens <= 0:
             return
@@ -113,7 +113,7 @@
         else:
             self._s_per_token = min(measured, shortest * S_PER_TOKEN_GROWTH)
 
-    def end(self, tokens, held_s):
+    def record_completed(self, tokens, held_s):
         """Record a completed stream and the memory that it held."""
         self._demand += Demand(ended=1, memory_token_s=tokens * held_s)
 
--- a/currantdeal/policy/estimates.py
+++ b/currantdeal/policy/estimates.py
@@ -51,7 +51,7 @@
     >>> work = Work(request_id="r", caller="c", kind=WorkKind.CHAT,
     ...             target="m", region="r1", prompt_tokens=800,
     ...             max_output_tokens=100)
-    >>> round(estimates.path_s(work), 2), estimates.cost_s(work)
+    >>> round(estimates.first_output_s(work), 2), estimates.cost_s(work)
     (0.12, 1.1)
     """
 
@@ -63,7 +63,7 @@
         self._start_factor = (
             1.0 + MIN_START_MARGIN + EXTRA_START_MARGIN * waste_share
         )
-        self._path_ratio = 1.0
+        self._first_output_ratio = 1.0
 
     def reserved_tokens(self, work):
         """Return the output tokens to reserve memory for."""
@@ -78,20 +78,22 @@
         prefill_s = work.prompt_tokens / DEFAULT_PREFILL_TOKENS_PER_S
         return prefill_s + self.hold_s(work, DEFAULT_STEP_S)
 
-    def path_s(self, work):
+    def first_output_s(self, work):
         """Return the expected time from start to first output, in seconds."""
-        return self._path_ratio * _unloaded_path_s(work)
+        return self._first_output_ratio * _unloaded_first_output_s(work)
 
     def would_miss_deadline(self, work, now_s):
         """Return whether work that starts now would miss its deadline."""
-        return now_s + self.path_s(work) * self._start_factor > (
+        return now_s + self.first_output_s(work) * self._start_factor > (
             work.deadline_s
         )
 
-    def observe_path(self, work, path_s):
+    def observe_first_output(self, work, first_output_s):
         """Record the time between start and first output, in seconds."""
-        ratio = min(MAX_RATIO, path_s / _unloaded_path_s(work))
-        self._path_ratio += RATIO_SMOOTHING * (ratio - self._path_ratio)
+        ratio = min(MAX_RATIO, first_output_s / _unloaded_first_output_s(work))
+        self._first_output_ratio += RATIO_SMOOTHING * (
+            ratio - self._first_output_ratio
+        )
 
     def observe_output(self, work, tokens):
         """Record the length of a complete answer."""
@@ -113,5 +115,5 @@
     return PREFILL_BASE_S + tokens / DEFAULT_PREFILL_TOKENS_PER_S
 
 
-def _unloaded_path_s(work):
+def _unloaded_first_output_s(work):
     return work.prompt_tokens / DEFAULT_PREFILL_TOKENS_PER_S + DEFAULT_STEP_S
--- a/currantdeal/policy/ledger.py
+++ b/currantdeal/policy/ledger.py
@@ -30,7 +30,7 @@
 
 from currantdeal.core import CallerId, InstanceId, RequestId
 from currantdeal.policy.batch_limit import BatchLimit
-from currantdeal.policy.waiters import Waiters
+from currantdeal.policy.waiters import WaitQueue
 
 MAX_BACKLOG_S = 0.2
 MIN_RETRY_AFTER_S = 0.02
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ask:
+class LedgerRequest:
     """Resources to reserve for a request.
 
     Parameters
@@ -105,7 +105,7 @@
         Monotonic time at which the memory is expected to be released.
     """
 
-    ask: Ask
+    request: LedgerRequest
     pieces: int
     start_in_s: float
     ends_s: float
@@ -128,13 +128,14 @@
 
     Examples
     --------
-    >>> from currantdeal.policy import Ask, Ledger, LedgerLimits
+    >>> from currantdeal.policy import Ledger, LedgerLimits, LedgerRequest
     >>> ledger = Ledger(limits=LedgerLimits(pieces_total=100))
-    >>> ask = Ask(request_id="r1", caller="c", entry="i1", pieces=60,
-    ...           hold_s=2.0)
-    >>> ledger.reserve(ask, now_s=0.0).pieces
+    >>> request = LedgerRequest(
+    ...     request_id="r1", caller="c", entry="i1", pieces=60, hold_s=2.0)
+    >>> ledger.reserve(request, now_s=0.0).pieces
     60
-    >>> other = Ask(request_id="r2", caller="c", entry="i1", pieces=60)
+    >>> other = LedgerRequest(
+    ...     request_id="r2", caller="c", entry="i1", pieces=60)
     >>> ledger.reserve(other, now_s=0.0)
     LedgerRefusal(retry_after_s=1.0)
     """
@@ -145,7 +146,7 @@
         self._grants = {}
         self._stalled = set()
         self._stream_count = 0
-        self._waiters = Waiters()
+        self._wait_queue = WaitQueue()
         self._batch_limit = BatchLimit(target_s=limits.output_gap_s)
         self._pieces_used = 0
         self._prefill_until_s = 0.0
@@ -161,27 +162,31 @@
         """Pieces of memory that are not reserved."""
         return self._limits.pieces_total - self._pieces_used
 
-    def hear(self, *, running, step_s):
+    def record_report(self, *, running, step_s):
         """Record the batch size and step time that the engine reported."""
         self._batch_limit.observe(running=running, step_s=step_s)
 
-    def reserve(self, ask, *, now_s):
+    def reserve(self, request, *, now_s):
         """Return a ``LedgerGrant`` or a ``LedgerRefusal``.
 
         A request id that holds a grant gets the same grant again, so that a
         retry after a lost response does not reserve twice.
         """
-        existing = self._grants.get(ask.request_id)
+        existing = self._grants.get(request.request_id)
         if existing is not None:
             return existing
-        refusal = self._refusal(ask, now_s)
+        refusal = self._refusal(request, now_s)
         if refusal is not None:
-            self._waiters.enqueue(ask.request_id, ask.caller, now_s=now_s)
+            self._wait_queue.enqueue(
+                request.request_id, request.caller, now_s=now_s
+            )
             return refusal
-        self._waiters.remove(ask.request_id)
-        self._waiters.charge(ask.caller, self._cost_s(ask), now_s=now_s)
-        backlog_s = self._backlog_s(ask, now_s)
-        return self._grant(ask, now_s, backlog_s)
+        self._wait_queue.remove(request.request_id)
+        self._wait_queue.charge(
+            request.caller, self._cost_s(request), now_s=now_s
+        )
+        backlog_s = self._backlog_s(request, now_s)
+        return self._grant(request, now_s, backlog_s)
 
     def grow(self, request_id, *, pieces):
         """Enlarge a grant; return whether there was memory for it.
@@ -227,37 +232,39 @@
         self._stalled.discard(request_id)
         if grant is not None:
             self._pieces_used -= grant.pieces
-            self._stream_count -= grant.ask.pieces > 0
+            self._stream_count -= grant.request.pieces > 0
         return grant
 
-    def drop_entry(self, entry):
+    def release_entry(self, entry):
         """Release and return all grants of an entry whose lease expired."""
         names = [
             name
             for name, grant in self._grants.items()
-            if grant.ask.entry == entry
+            if grant.request.entry == entry
         ]
         return tuple(self.release(name) for name in names)
 
-    def adopt(self, ask, *, now_s):
+    def restore(self, request, *, now_s):
         """Restore a reservation granted earlier, here or by another home."""
-        return self._grant(ask, now_s, 0.0)
+        return self._grant(request, now_s, 0.0)
 
-    def _refusal(self, ask, now_s):
-        if ask.pieces and self._is_full(ask.pieces):
-            return _refusal_after(self._memory_wait_s(ask.pieces, now_s))
-        excess_s = self._backlog_s(ask, now_s) - self._limits.max_backlog_s
+    def _refusal(self, request, now_s):
+        if request.pieces and self._is_full(request.pieces):
+            return _refusal_after(self._memory_wait_s(request.pieces, now_s))
+        excess_s = self._backlog_s(request, now_s) - self._limits.max_backlog_s
         if excess_s > 0:
             return _refusal_after(excess_s)
-        if not self._waiters.is_next(ask.request_id, ask.caller, now_s=now_s):
+        if not self._wait_queue.is_next(
+            request.request_id, request.caller, now_s=now_s
+        ):
             return _refusal_after(0.0)
         return None
 
-    def _cost_s(self, ask):
+    def _cost_s(self, request):
         total = max(1, self._limits.pieces_total)
         rate = self._limits.prefill_tokens_per_s
-        prefill_s = ask.prefill_tokens / rate if rate > 0 else 0.0
-        return ask.hold_s * ask.pieces / total + prefill_s
+        prefill_s = request.prefill_tokens / rate if rate > 0 else 0.0
+        return request.hold_s * request.pieces / total + prefill_s
 
     def _is_full(self, pieces):
         return (
@@ -274,36 +281,36 @@
                 return grant.ends_s - now_s
         return MAX_RETRY_AFTER_S
 
-    def _backlog_s(self, ask, now_s):
+    def _backlog_s(self, request, now_s):
         prefill_s = link_s = 0.0
-        if ask.prefill_tokens:
+        if request.prefill_tokens:
             prefill_s = max(0.0, self._prefill_until_s - now_s)
-        if ask.kv_bytes:
-            link_s = max(0.0, self._link_until_s - now_s - ask.lead_s)
+        if request.kv_bytes:
+            link_s = max(0.0, self._link_until_s - now_s - request.lead_s)
         return max(prefill_s, link_s)
 
-    def _grant(self, ask, now_s, start_in_s):
-        self._book_prefill_and_link(ask, now_s)
-        self._pieces_used += ask.pieces
-        self._stream_count += ask.pieces > 0
+    def _grant(self, request, now_s, start_in_s):
+        self._book_prefill_and_link(request, now_s)
+        self._pieces_used += request.pieces
+        self._stream_count += request.pieces > 0
         grant = LedgerGrant(
-            ask=ask,
-            pieces=ask.pieces,
+            request=request,
+            pieces=request.pieces,
             start_in_s=start_in_s,
-            ends_s=now_s + start_in_s + ask.lead_s + ask.hold_s,
+            ends_s=now_s + start_in_s + request.lead_s + request.hold_s,
         )
-        self._grants[ask.request_id] = grant
+        self._grants[request.request_id] = grant
         return grant
 
-    def _book_prefill_and_link(self, ask, now_s):
+    def _book_prefill_and_link(self, request, now_s):
         rate = self._limits.prefill_tokens_per_s
-        if ask.prefill_tokens and rate > 0:
+        if request.prefill_tokens and rate > 0:
             start_s = max(now_s, self._prefill_until_s)
-            self._prefill_until_s = start_s + ask.prefill_tokens / rate
+            self._prefill_until_s = start_s + request.prefill_tokens / rate
         rate = self._limits.link_bytes_per_s
-        if ask.kv_bytes and rate > 0:
-            start_s = max(now_s + ask.lead_s, self._link_until_s)
-            self._link_until_s = start_s + ask.kv_bytes / rate
+        if request.kv_bytes and rate > 0:
+            start_s = max(now_s + request.lead_s, self._link_until_s)
+            self._link_until_s = start_s + request.kv_bytes / rate
 
 
 def _end_time(grant):
--- a/currantdeal/policy/reading_turns.py
+++ b/currantdeal/policy/local_prefills.py
@@ -16,24 +16,26 @@
 """Time between two prefills, for the round trip to the engine."""
 
 
-class ReadingTurns:
+class LocalPrefills:
     """Local prefills in progress at decode engines, as one entry knows them.
 
     Examples
     --------
-    >>> turns = ReadingTurns()
-    >>> turns.begin("d1", 0.2, now_s=1.0)
-    >>> round(turns.free_in_s("d1", now_s=1.1), 2)
+    >>> prefills = LocalPrefills()
+    >>> prefills.start("d1", 0.2, now_s=1.0)
+    >>> round(prefills.free_in_s("d1", now_s=1.1), 2)
     0.12
-    >>> turns.free_in_s("d1", now_s=2.0), turns.free_in_s("d2", now_s=1.0)
-    (0.0, 0.0)
+    >>> prefills.free_in_s("d1", now_s=2.0)
+    0.0
+    >>> prefills.free_in_s("d2", now_s=1.0)
+    0.0
     """
 
     def __init__(self):
         """Start without prefills."""
         self._until_s = {}
 
-    def begin(self, upstream, for_s, *, now_s):
+    def start(self, upstream, for_s, *, now_s):
         """Record a prefill that starts now, or after those in progress.
 
         The prompts at one engine are prefilled one after the other.
@@ -45,6 +47,6 @@
         """Return the seconds until an engine has ended all its prefills."""
         return max(0.0, self._until_s.get(upstream, 0.0) - now_s)
 
-    def is_reading(self, upstream, *, now_s):
+    def is_prefilling(self, upstream, *, now_s):
         """Return whether an engine prefills a prompt now."""
         return self.free_in_s(upstream, now_s=now_s) > 0.0
--- a/currantdeal/policy/outliers.py
+++ b/currantdeal/policy/outliers.py
@@ -35,7 +35,7 @@
         Smoothed ratio of actual to predicted time.
     samples : int
         Number of observations.
-    out_until_s : float
+    ejected_until_s : float
         Monotonic time of the next probe; 0 if never ejected.
     """
 
@@ -44,12 +44,12 @@
     ejected_until_s: float = 0.0
 
 
-def slow_group(work, role):
+def peer_group(work, role):
     """Return the key of the group in which an upstream is compared."""
     return (role, work.target)
 
 
-class SlowUpstreams:
+class OutlierDetector:
     """Outlier detector that ejects slow upstreams.
 
     Observations are compared within a group, such as all decode engines of
@@ -57,12 +57,12 @@
 
     Examples
     --------
-    >>> from currantdeal.policy import SlowUpstreams
-    >>> slow = SlowUpstreams()
+    >>> from currantdeal.policy import OutlierDetector
+    >>> outliers = OutlierDetector()
     >>> for _ in range(6):
     ...     for name, ratio in (("a", 1), ("b", 1.1), ("c", 4)):
-    ...         slow.observe("decode", name, ratio, now_s=1.0)
-    >>> [slow.is_out("decode", name, now_s=1.0) for name in "abc"]
+    ...         outliers.observe("decode", name, ratio, now_s=1.0)
+    >>> [outliers.is_ejected("decode", name, now_s=1.0) for name in "abc"]
     [False, False, True]
     """
 
@@ -84,7 +84,7 @@
         elif upstream_id in self._ejected.get(group, ()):
             self._ejected[group].discard(upstream_id)
 
-    def is_out(self, group, upstream_id, *, now_s):
+    def is_ejected(self, group, upstream_id, *, now_s):
         """Return whether the upstream is ejected.
 
         When the ejection time is over, the first call returns False and
--- a/currantdeal/policy/placement.py
+++ b/currantdeal/policy/placement.py
@@ -35,7 +35,7 @@
 from heapq import nlargest
 
 from currantdeal.core import Role, Upstream
-from currantdeal.policy.outliers import slow_group
+from currantdeal.policy.outliers import peer_group
 
 SAME_REGION_SAMPLES = 4
 OTHER_REGION_SAMPLES = 2
@@ -82,15 +82,15 @@
         Samples the candidates.
     hints : PrefixHints
         Upstreams that may have a prefix cached.
-    slow : SlowUpstreams
+    outliers : OutlierDetector
         Outlier detector; ejected upstreams are not chosen.
     """
 
-    def __init__(self, *, rng, hints, slow):
+    def __init__(self, *, rng, hints, outliers):
         """Store the inputs of decisions."""
         self._rng = rng
         self._hints = hints
-        self._slow = slow
+        self._outliers = outliers
         self._pools = {}
 
     def choose(
@@ -172,7 +172,7 @@
         return _choice(work, decode, best) if best else None
 
     def _candidates(self, pool, work, region, role, holders, now_s):
-        group = slow_group(work, role)
+        group = peer_group(work, role)
         candidates = _sample(
             self._rng, pool.same_region(region), SAME_REGION_SAMPLES
         )
@@ -190,7 +190,9 @@
         healthy = [
             up
             for up in candidates
-            if not self._slow.is_out(group, up.upstream_id, now_s=now_s)
+            if not self._outliers.is_ejected(
+                group, up.upstream_id, now_s=now_s
+            )
         ]
         return healthy or candidates
 
--- a/currantdeal/policy/plans.py
+++ b/currantdeal/policy/plans.py
@@ -8,7 +8,7 @@
 
 from currantdeal.core import Upstream, Work
 from currantdeal.policy.admission import Refused
-from currantdeal.policy.ledger import Ask
+from currantdeal.policy.ledger import LedgerRequest
 from currantdeal.policy.placement import Choice
 
 
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    decode_ask, prefill_ask : Ask
+    decode_request, prefill_request : LedgerRequest
         Reservations to make at the homes of the chosen engines, in this
         order.
     output_tokens : int
@@ -40,8 +40,8 @@
     work: Work
     output_tokens: int
     choice: Choice
-    decode_ask: Ask
-    prefill_ask: Ask
+    decode_request: LedgerRequest
+    prefill_request: LedgerRequest
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/currantdeal/policy/spread_choice.py
+++ b/currantdeal/policy/power_of_choices.py
@@ -9,7 +9,7 @@
 
 
 def order_by_choices(
-    items, *, cost, random, unseen, jitter=0.0, min_group_size=2
+    items, *, cost, random, unreported, jitter=0.0, min_group_size=2
 ):
     """Return items in the order in which to try them.
 
@@ -23,7 +23,7 @@
         Estimated cost of an item; comparable.
     random : random.Random
         Source of the groups.
-    unseen : float
+    unreported : float
         Placements by others that the costs do not include; with one or less
         the items are sorted by their cost.
     jitter : float
@@ -35,13 +35,14 @@
     --------
     >>> from random import Random
     >>> load = {"a": 1, "b": 9, "c": 2, "d": 8}.get
-    >>> order_by_choices("bdca", cost=load, random=Random(1), unseen=0)
+    >>> order_by_choices("bdca", cost=load, random=Random(1), unreported=0)
     ['a', 'c', 'd', 'b']
-    >>> order = order_by_choices("abcd", cost=load, random=Random(1), unseen=9)
+    >>> order = order_by_choices(
+    ...     "abcd", cost=load, random=Random(1), unreported=9)
     >>> order[0] != "b", sorted(order)
     (True, ['a', 'b', 'c', 'd'])
     """
-    group_count = max(1, min(len(items) // min_group_size, round(unseen)))
+    group_count = max(1, min(len(items) // min_group_size, round(unreported)))
     shuffled = random.sample(list(items), len(items))
     if group_count == 1:
         return _sort_by_cost(shuffled, cost, random, jitter)
@@ -68,7 +69,7 @@
     --------
     >>> from random import Random
     >>> order_groups_by_choices([[3, 1], [2, 5]], cost=lambda item: item,
-    ...                         random=Random(1), unseen=0)
+    ...                         random=Random(1), unreported=0)
     [1, 2, 3, 5]
     """
     orders = [
--- a/currantdeal/policy/prompt_reader.py
+++ b/currantdeal/policy/prefill_choice.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from currantdeal.policy.spread_choice import order_groups_by_choices
+from currantdeal.policy.power_of_choices import order_groups_by_choices
 
 JITTER_S = 0.03
 """Random part of an estimate, so that entries choose different engines."""
@@ -35,7 +35,7 @@
 """Time of a KV cache transfer, which local prefill saves."""
 
 MAX_PAUSE_SHARE = 0.75
-"""Share of the pause target that local prefill may take between two events."""
+"""Share of the gap target that local prefill may take between two events."""
 
 MAX_QUEUE_SHARE = 0.25
 """Share of the time left that a prompt may wait in a queue."""
@@ -72,10 +72,10 @@
     tokens,
     backlog,
     distance,
-    suspect,
+    is_suspect,
     random,
     s_per_token,
-    unseen=0.0,
+    unreported=0.0,
     connected=None,
 ):
     """Return estimates for prefill engines in the order to try them.
@@ -91,13 +91,13 @@
     distance : callable
         0 for an engine in the data centre of the decode engine, 1 in its
         region, 2 elsewhere.
-    suspect : callable
+    is_suspect : callable
         Whether several entries could not reach an engine.
     random : random.Random
         Source of the jitter and of the random groups.
     s_per_token : float or None
         Measured time to prefill a token.
-    unseen : float
+    unreported : float
         Prompts of other entries that are not in the backlogs yet.
     connected : callable or None
         Whether there is an open connection to an engine.
@@ -107,7 +107,7 @@
     >>> from random import Random
     >>> found = estimate_prefill(
     ...     ["p1", "p2"], tokens=3000, backlog={"p1": 6000, "p2": 0}.get,
-    ...     distance=lambda u: 0, suspect=lambda u: False,
+    ...     distance=lambda u: 0, is_suspect=lambda u: False,
     ...     random=Random(1), s_per_token=3e-5)
     >>> [estimate.upstream for estimate in found]
     ['p2', 'p1']
@@ -116,7 +116,7 @@
 
     def expected_s(upstream):
         prefill_s = (backlog(upstream) + tokens) * token_s
-        suspect_s = SUSPECT_DELAY_S if suspect(upstream) else 0.0
+        suspect_s = SUSPECT_DELAY_S if is_suspect(upstream) else 0.0
         network_s = TRANSFER_DELAY_S[distance(upstream)]
         if connected is not None and not connected(upstream):
             network_s += CONNECT_DELAY_S[distance(upstream)]
@@ -133,7 +133,7 @@
         (near, far),
         cost=lambda name: found[name].expected_s,
         random=random,
-        unseen=unseen,
+        unreported=unreported,
         jitter=JITTER_S,
         # With near and far engines, each group of choices is one of each.
         min_group_size=1 if near and far else 2,
@@ -141,19 +141,19 @@
     return [found[name] for name in order]
 
 
-def own_reading_s(tokens, s_per_token):
+def local_prefill_s(tokens, s_per_token):
     """Return the seconds in which a decode engine prefills a prompt.
 
     Examples
     --------
-    >>> own_reading_s(3000, 3e-5)
+    >>> local_prefill_s(3000, 3e-5)
     0.18
     """
     return LOCAL_SLOWDOWN * tokens * (s_per_token or DEFAULT_S_PER_TOKEN)
 
 
-def decode_engine_reads(
-    best, *, tokens, s_per_token, time_left_s, pause_target_s
+def prefers_local_prefill(
+    best, *, tokens, s_per_token, time_left_s, gap_target_s
 ):
     """Return whether the decode engine should prefill a prompt itself.
 
@@ -172,32 +172,32 @@
     time_left_s : float
         Seconds in which the prompt must be prefilled for the first event to
         be in time.
-    pause_target_s : float
+    gap_target_s : float
         Longest pause of the engine's other streams that is in time; 0 if
         there is no target.
 
     Examples
     --------
     >>> queue = PromptEstimate(upstream="p1", expected_s=0.7)
-    >>> decode_engine_reads(queue, tokens=3000, s_per_token=3e-5,
-    ...                     time_left_s=0.5, pause_target_s=0.3)
+    >>> prefers_local_prefill(queue, tokens=3000, s_per_token=3e-5,
+    ...                     time_left_s=0.5, gap_target_s=0.3)
     True
-    >>> decode_engine_reads(queue, tokens=6000, s_per_token=3e-5,
-    ...                     time_left_s=0.5, pause_target_s=0.3)
+    >>> prefers_local_prefill(queue, tokens=6000, s_per_token=3e-5,
+    ...                     time_left_s=0.5, gap_target_s=0.3)
     False
     """
     if best is None:
         return True
-    local_s = own_reading_s(tokens, s_per_token)
+    local_s = local_prefill_s(tokens, s_per_token)
     if local_s > time_left_s + SAVED_TRANSFER_S:
         return False
-    if pause_target_s and local_s > MAX_PAUSE_SHARE * pause_target_s:
+    if gap_target_s and local_s > MAX_PAUSE_SHARE * gap_target_s:
         return False
     queue_s = best.expected_s - local_s / LOCAL_SLOWDOWN
     return queue_s > MAX_QUEUE_SHARE * time_left_s
 
 
-def prompt_patience_s(best, *, tokens, s_per_token, time_left_s):
+def prefill_timeout_s(best, *, tokens, s_per_token, time_left_s):
     """Return the timeout of a prefill at a prefill engine, in seconds.
 
     An unresponsive engine keeps its connections open and sends nothing.
@@ -209,16 +209,16 @@
     Examples
     --------
     >>> best = PromptEstimate(upstream="p1", expected_s=0.1)
-    >>> round(prompt_patience_s(best, tokens=2000, s_per_token=3e-5,
+    >>> round(prefill_timeout_s(best, tokens=2000, s_per_token=3e-5,
     ...                         time_left_s=0.7), 2)
     0.5
-    >>> prompt_patience_s(best, tokens=6000, s_per_token=3e-5,
+    >>> prefill_timeout_s(best, tokens=6000, s_per_token=3e-5,
     ...                   time_left_s=0.7)
     1.6
     """
     timeout_s = TIMEOUT_FACTOR * best.expected_s + TIMEOUT_MARGIN_S
     latest_s = (
-        time_left_s + SAVED_TRANSFER_S - own_reading_s(tokens, s_per_token)
+        time_left_s + SAVED_TRANSFER_S - local_prefill_s(tokens, s_per_token)
     )
     if timeout_s > latest_s:
         return MAX_TIMEOUT_S
--- a/currantdeal/policy/prefixes.py
+++ b/currantdeal/policy/prefix_hints.py
@@ -26,13 +26,13 @@
     max_age_s : float
         Age at which the weight of a hint reaches zero, in seconds.
     max_keys : int
-        Limit of block keys; the least recently learned one is evicted first.
+        Limit of block keys; the least recently recorded one is evicted first.
 
     Examples
     --------
     >>> from currantdeal.policy import PrefixHints
     >>> hints = PrefixHints(max_age_s=10.0)
-    >>> hints.learn("p1", (11, 12), now_s=0.0)
+    >>> hints.record("p1", (11, 12), now_s=0.0)
     >>> hints.holders((11, 12, 13), now_s=0.0)
     {'p1': 512.0}
     >>> hints.holders((11, 12, 13), now_s=5.0)
@@ -47,7 +47,7 @@
         self._max_keys = max_keys
         self._seen = OrderedDict()
 
-    def learn(self, upstream_id, prefix_keys, *, now_s):
+    def record(self, upstream_id, prefix_keys, *, now_s):
         """Record that an upstream holds some blocks as of now."""
         for key in prefix_keys:
             holders = self._seen.setdefault(key, {})
@@ -78,7 +78,7 @@
             for name, seen_s in common.items():
                 longest[name] = (position, seen_s)
         return {
-            name: position * BLOCK_TOKENS * self._belief(seen_s, now_s)
+            name: position * BLOCK_TOKENS * self._confidence(seen_s, now_s)
             for name, (position, seen_s) in longest.items()
         }
 
@@ -94,5 +94,5 @@
             if holders.get(name, cutoff_s) > cutoff_s
         }
 
-    def _belief(self, seen_s, now_s):
+    def _confidence(self, seen_s, now_s):
         return max(0.0, 1.0 - (now_s - seen_s) / self._max_age_s)
--- a/currantdeal/policy/reset_outcome.py
+++ b/currantdeal/policy/reset_outcome.py
@@ -1,11 +1,11 @@
 """Outcome of a call whose connection was reset, and who may retry it.
 
 Load pattern: connection resets in bursts.  A node or a network path drops a
-share of its connections at once, each at a different moment of its call.
+share of its connections at once, each in a different phase of its call.
 Whether the call may have run determines what is reported to the caller and who
 may retry the call; a single wrong "not run" can charge a customer twice.
 
-The decision depends only on the kind of the call and on the moment of the
+The decision depends only on the kind of the call and on the phase at the
 reset, so it is the same wherever a connection is lost.
 """
 
@@ -34,10 +34,10 @@
     CONTROL = "control"
 
 
-class Moment(str, Enum):
+class ExchangePhase(str, Enum):
     """Progress of a call at the reset of its connection.
 
-    ``BETWEEN_EVENTS`` and ``WITHIN_EVENT`` are moments of a stream that the
+    ``BETWEEN_EVENTS`` and ``WITHIN_EVENT`` are phases of a stream that the
     caller has already received in part.
     """
 
@@ -49,7 +49,7 @@
     WITHIN_EVENT = "within-event"
 
 
-class Told(str, Enum):
+class SenderResult(str, Enum):
     """Result that the sender of a call receives if the call is not retried.
 
     ``NOT_RUN`` is a refusal with a retry-after time, ``UNKNOWN`` a failure
@@ -64,7 +64,7 @@
     NOTHING = "nothing"
 
 
-class RepeatBy(str, Enum):
+class RetryBy(str, Enum):
     """Who retries a call, and how.
 
     With ``ENTRY`` the entry sends it to another upstream, with ``RESUMED`` the
@@ -87,53 +87,54 @@
     ----------
     ran : Ran
         Whether the call certainly did not run, or may have run.
-    told : Told
+    sender_result : SenderResult
         Result that the sender receives if the call is not retried here.
-    repeat_by : RepeatBy
+    retry_by : RetryBy
         Who may retry it.
     """
 
     ran: Ran
-    told: Told
-    repeat_by: RepeatBy
+    sender_result: SenderResult
+    retry_by: RetryBy
 
     @property
-    def by_entry(self):
+    def retryable_by_entry(self):
         """Whether the entry itself may retry or resume the call."""
-        return self.repeat_by in (RepeatBy.ENTRY, RepeatBy.RESUMED)
+        return self.retry_by in (RetryBy.ENTRY, RetryBy.RESUMED)
 
 
-def reset_outcome(kind, moment):
+def reset_outcome(kind, phase):
     """Return the ``ResetOutcome`` of a call whose connection was reset.
 
     Raises
     ------
     ValueError
-        If a call of that kind cannot be reset at that moment.
+        If a call of that kind cannot be reset in that phase.
 
     Examples
     --------
-    >>> found = reset_outcome(CallKind.NON_IDEMPOTENT, Moment.CONNECTING)
-    >>> found.ran.value, found.told.value, found.repeat_by.value
+    >>> kind = CallKind.NON_IDEMPOTENT
+    >>> found = reset_outcome(kind, ExchangePhase.CONNECTING)
+    >>> found.ran.value, found.sender_result.value, found.retry_by.value
     ('no', 'not-run', 'entry')
-    >>> found = reset_outcome(CallKind.NON_IDEMPOTENT, Moment.SENDING)
-    >>> found.ran.value, found.told.value, found.repeat_by.value
+    >>> found = reset_outcome(kind, ExchangePhase.SENDING)
+    >>> found.ran.value, found.sender_result.value, found.retry_by.value
     ('maybe', 'unknown', 'nobody')
     """
-    if not has_moment(kind, moment):
+    if not has_phase(kind, phase):
         raise ValueError(
-            f'call of kind "{kind.value}" cannot be reset at "{moment.value}"'
+            f'call of kind "{kind.value}" cannot be reset at "{phase.value}"'
         )
     return ResetOutcome(
-        ran=Ran.NO if moment is Moment.CONNECTING else Ran.MAYBE,
-        told=_told(kind, moment),
-        repeat_by=_repeat_by(kind, moment),
+        ran=Ran.NO if phase is ExchangePhase.CONNECTING else Ran.MAYBE,
+        sender_result=_sender_result(kind, phase),
+        retry_by=_retry_by(kind, phase),
     )
 
 
-def has_moment(kind, moment):
-    """Return whether a call of a kind can be reset at a moment."""
-    return moment not in _STREAM_MOMENTS or kind in _STREAMS
+def has_phase(kind, phase):
+    """Return whether a call of a kind can be reset in a phase."""
+    return phase not in _STREAM_PHASES or kind in _STREAMS
 
 
 _STREAMS = frozenset({CallKind.STREAM, CallKind.RESUMABLE_STREAM})
@@ -146,24 +147,30 @@
         CallKind.PEER,
     }
 )
-_STREAM_MOMENTS = frozenset({Moment.BETWEEN_EVENTS, Moment.WITHIN_EVENT})
+_STREAM_PHASES = frozenset(
+    {ExchangePhase.BETWEEN_EVENTS, ExchangePhase.WITHIN_EVENT}
+)
 
 
-def _told(kind, moment):
+def _sender_result(kind, phase):
     if kind in _INTERNAL:
-        return Told.NOTHING
-    if moment in _STREAM_MOMENTS:
-        return Told.CUT
-    return Told.NOT_RUN if moment is Moment.CONNECTING else Told.UNKNOWN
+        return SenderResult.NOTHING
+    if phase in _STREAM_PHASES:
+        return SenderResult.CUT
+    return (
+        SenderResult.NOT_RUN
+        if phase is ExchangePhase.CONNECTING
+        else SenderResult.UNKNOWN
+    )
 
 
-def _repeat_by(kind, moment):
+def _retry_by(kind, phase):
     if kind is CallKind.CONTROL:
-        return RepeatBy.SENDER
-    if moment is Moment.CONNECTING:
-        return RepeatBy.ENTRY
+        return RetryBy.SENDER
+    if phase is ExchangePhase.CONNECTING:
+        return RetryBy.ENTRY
     if kind not in _RETRYABLE:
-        return RepeatBy.NOBODY
-    if moment in _STREAM_MOMENTS:
-        return RepeatBy.RESUMED
-    return RepeatBy.ENTRY
+        return RetryBy.NOBODY
+    if phase in _STREAM_PHASES:
+        return RetryBy.RESUMED
+    return RetryBy.ENTRY
--- a/currantdeal/policy/retry.py
+++ b/currantdeal/policy/retry.py
@@ -58,7 +58,7 @@
         self._rng = rng
         self._balance = balance
 
-    def record_try(self):
+    def record_first_attempt(self):
         """Credit the budget for one first attempt."""
         self._balance = min(
             MAX_BALANCE, self._balance + RETRIES_PER_FIRST_ATTEMPT
--- a/currantdeal/policy/return_time.py
+++ b/currantdeal/policy/retry_after.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 
-class Shortage(str, Enum):
+class RefusalReason(str, Enum):
     """Why a request was refused."""
 
     MEMORY = "memory"
@@ -24,15 +24,15 @@
 
 
 _RANGES_S = {
-    Shortage.MEMORY: (0.8, 3.0),
-    Shortage.UPSTREAMS: (0.2, 0.6),
-    Shortage.CONFIGURATION: (0.3, 1.0),
-    Shortage.STOPPING: (0.05, 0.2),
-    Shortage.QUARANTINE: (60.0, 90.0),
+    RefusalReason.MEMORY: (0.8, 3.0),
+    RefusalReason.UPSTREAMS: (0.2, 0.6),
+    RefusalReason.CONFIGURATION: (0.3, 1.0),
+    RefusalReason.STOPPING: (0.05, 0.2),
+    RefusalReason.QUARANTINE: (60.0, 90.0),
 }
 
 
-def return_after_s(shortage, time_left_s, random):
+def choose_retry_after_s(refusal_reason, time_left_s, random):
     """Return the seconds after which to retry a refused request.
 
     Except in quarantine they are a third of the time left at most, so that a
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    shortage : Shortage
+    refusal_reason : RefusalReason
         Why the request was refused.
     time_left_s : float
         Seconds until the timeout of the caller.
@@ -50,15 +50,16 @@
     Examples
     --------
     >>> from random import Random
-    >>> 0.8 <= return_after_s(Shortage.MEMORY, 14.0, Random(1)) <= 3.0
+    >>> memory = RefusalReason.MEMORY
+    >>> 0.8 <= choose_retry_after_s(memory, 14.0, Random(1)) <= 3.0
     True
-    >>> return_after_s(Shortage.MEMORY, 0.3, Random(1)) <= 0.1
+    >>> choose_retry_after_s(memory, 0.3, Random(1)) <= 0.1
     True
-    >>> return_after_s(Shortage.QUARANTINE, 0.3, Random(1)) >= 60.0
+    >>> choose_retry_after_s(RefusalReason.QUARANTINE, 0.3, Random(1)) >= 60.0
     True
     """
-    low_s, high_s = _RANGES_S[shortage]
+    low_s, high_s = _RANGES_S[refusal_reason]
     wanted_s = random.uniform(low_s, high_s)
-    if shortage is Shortage.QUARANTINE:
+    if refusal_reason is RefusalReason.QUARANTINE:
         return round(wanted_s, 3)
     return round(min(wanted_s, time_left_s / 3.0), 3)
--- a/currantdeal/policy/late_callers.py
+++ b/currantdeal/policy/retry_detection.py
@@ -7,42 +7,42 @@
 retries.
 
 So retrying callers are given only memory that new ones will not need
-(``LATE_FULL``), and wait for it much longer, since a caller that is refused a
-second time usually gives up.
+(``RETRY_MAX_FILL``), and wait for it much longer, since a caller that is
+refused a second time usually gives up.
 
 A retry is detected by its timeout: callers of a route set about the same
-timeout, and a retry sets what is left of it.  The timeout of a caller is
-called its patience here.
+timeout, and a retry sets what is left of it.
 """
 
 import math
 
 RETRY_TIMEOUT_SHARE = 0.8
-"""Share of a route's longest patience below which a caller is a retry."""
+"""Share of a route's longest caller timeout below which a caller is a
+retry."""
 
 DECAY = 0.999
-"""Factor by which the longest patience decays with each caller.
+"""Factor by which the longest caller timeout decays with each caller.
 
 So it follows callers that are changed to set a shorter timeout.
 """
 
-LATE_FULL = 0.85
+RETRY_MAX_FILL = 0.85
 """Memory use of an engine, as a share, up to which retries are admitted."""
 
-LATE_WAIT_TARGETS = 3.0
+RETRY_WAIT_TARGETS = 3.0
 """Longest wait of a retrying caller for memory, in latency targets of its
 route."""
 
 
-class PatienceBook:
-    """Detects retrying callers by their patience.
+class RetryDetector:
+    """Detects retrying callers by their timeouts.
 
     Examples
     --------
-    >>> book = PatienceBook()
-    >>> [book.has_returned("drafts", s) for s in (14.0, 13.0, 10.5, 12.5)]
+    >>> detector = RetryDetector()
+    >>> [detector.is_retry("drafts", s) for s in (14.0, 13.0, 10.5, 12.5)]
     [False, False, True, False]
-    >>> book.has_returned("other", 10.5), book.has_returned("drafts", None)
+    >>> detector.is_retry("other", 10.5), detector.is_retry("drafts", None)
     (False, False)
     """
 
@@ -52,31 +52,33 @@
         self._shared_s = {}
 
     @property
-    def longest_s(self):
-        """Longest patience seen at this entry by route, in seconds."""
+    def longest_timeouts_s(self):
+        """Longest caller timeout seen at this entry by route, in seconds."""
         return dict(self._own_s)
 
-    def learn(self, longest_s):
-        """Set the longest patience of each route over all entries.
+    def set_shared_timeouts(self, longest_timeouts_s):
+        """Set the longest caller timeout of each route over all entries.
 
         One of many entries sees too few callers of a route to estimate it.
         """
-        self._shared_s = longest_s
+        self._shared_s = longest_timeouts_s
 
-    def has_returned(self, route, patience_s, *, limit_s=math.inf):
+    def is_retry(self, route, caller_timeout_s, *, limit_s=math.inf):
         """Record a caller and return whether it is retrying.
 
         Parameters
         ----------
-        patience_s : float or None
+        caller_timeout_s : float or None
             Timeout of the caller; None if it sets none.
         limit_s : float
-            Timeout of the route; a longer patience is cut to it.
+            Timeout of the route; a longer caller timeout is cut to it.
         """
-        if patience_s is None:
+        if caller_timeout_s is None:
             return False
         decayed_s = self._own_s.get(route, 0.0) * DECAY
-        own_s = max(decayed_s, min(patience_s, limit_s))
+        own_s = max(decayed_s, min(caller_timeout_s, limit_s))
         self._own_s[route] = own_s
-        longest_s = max(own_s, self._shared_s.get(route, 0.0))
-        return patience_s < RETRY_TIMEOUT_SHARE * min(longest_s, limit_s)
+        longest_timeout_s = max(own_s, self._shared_s.get(route, 0.0))
+        return caller_timeout_s < RETRY_TIMEOUT_SHARE * min(
+            longest_timeout_s, limit_s
+        )
--- a/currantdeal/policy/scheduler.py
+++ b/currantdeal/policy/scheduler.py
@@ -9,7 +9,8 @@
 ``submit`` admits or refuses work.  ``poll`` returns plans for the work that
 is dispatched next, and gives up work that can no longer meet its deadline.
 The caller of the scheduler makes the reservations of a plan, decode engine
-first, reports the result with ``reserved`` or ``blocked``, and polls again.
+first, reports the result with ``record_reserved`` or ``record_refusal``, and
+polls again.
 
 Refused work stays dispatched.  It is planned for up to three engines; when
 all of them refuse, ``poll`` returns a ``Wait``, after which the caller polls
@@ -39,13 +40,13 @@
     unloaded_prefill_s,
 )
 from currantdeal.policy.fair_queue import FairQueue, Queued
-from currantdeal.policy.ledger import Ask
+from currantdeal.policy.ledger import LedgerRequest
 from currantdeal.policy.lengths import OutputLengths
 from currantdeal.policy.load_view import LoadView
-from currantdeal.policy.outliers import SlowUpstreams, slow_group
+from currantdeal.policy.outliers import OutlierDetector, peer_group
 from currantdeal.policy.placement import Placement
 from currantdeal.policy.plans import GiveUp, Plan, Wait
-from currantdeal.policy.prefixes import PrefixHints
+from currantdeal.policy.prefix_hints import PrefixHints
 from currantdeal.policy.weights import EVEN_WEIGHTS
 
 MAX_DISPATCHES = 16
@@ -70,7 +71,7 @@
         Maps work to the ``Pools`` that the selectors allow for it.
     weights : UserWeights
         The user's weights of goodput and wasted prefill.
-    queue, admission, lengths, hints, slow, placement : optional
+    queue, admission, lengths, hints, outliers, placement : optional
         Components that replace the default ones.
 
     Examples
@@ -101,7 +102,7 @@
         admission=None,
         lengths=None,
         hints=None,
-        slow=None,
+        outliers=None,
         placement=None,
     ):
         """Create the components that are not given."""
@@ -114,9 +115,9 @@
             lengths=lengths or OutputLengths(), weights=weights
         )
         self._hints = hints or PrefixHints()
-        self._slow = slow or SlowUpstreams()
+        self._outliers = outliers or OutlierDetector()
         self._placement = placement or Placement(
-            rng=rng, hints=self._hints, slow=self._slow
+            rng=rng, hints=self._hints, outliers=self._outliers
         )
         self._load = LoadView(source=load)
         self._pools_of = pools
@@ -131,9 +132,9 @@
         return len(self._queue) + len(self._dispatches)
 
     @property
-    def slow(self):
-        """The outlier detector (``SlowUpstreams``) in use."""
-        return self._slow
+    def outliers(self):
+        """The outlier detector (``OutlierDetector``) in use."""
+        return self._outliers
 
     def submit(self, work, *, now_s):
         """Return ``Admitted`` or ``Refused`` for new work."""
@@ -144,7 +145,7 @@
             cost_s=cost_s,
             queued_s=self._queue.cost_s,
             rate_per_s=self._start_rate.per_s,
-            path_s=self._estimates.path_s(work),
+            first_output_s=self._estimates.first_output_s(work),
         )
         if not isinstance(decision, Refused):
             self._queue.push(work, cost_s=cost_s)
@@ -163,7 +164,7 @@
             due.append(self._dispatch(Dispatch(queued=queued), now_s))
         return tuple(due)
 
-    def reserved(self, plan, *, now_s):
+    def record_reserved(self, plan, *, now_s):
         """Record that all of a plan was reserved and its work starts."""
         dispatch = self._dispatches.pop(plan.work.request_id, None)
         if dispatch is None:
@@ -176,21 +177,21 @@
         )
         self._load.record_reservation(
             choice.decode.upstream_id,
-            pieces=plan.decode_ask.pieces,
+            pieces=plan.decode_request.pieces,
             tokens=0,
             now_s=now_s,
         )
         self._load.record_reservation(
             choice.prefill.upstream_id,
             pieces=0,
-            tokens=plan.prefill_ask.prefill_tokens,
+            tokens=plan.prefill_request.prefill_tokens,
             now_s=now_s,
         )
-        self._hints.learn(
+        self._hints.record(
             choice.prefill.upstream_id, plan.work.prefix_keys, now_s=now_s
         )
 
-    def blocked(self, plan, upstream_id, *, retry_after_s, now_s):
+    def record_refusal(self, plan, upstream_id, *, retry_after_s, now_s):
         """Record that a home refused one of a plan's reservations."""
         dispatch = self._dispatches.get(plan.work.request_id)
         if dispatch is None:
@@ -201,7 +202,7 @@
         else:
             dispatch.record_prefill_refusal(upstream_id, retry_after_s, now_s)
 
-    def failed(self, upstream_id, *, now_s):
+    def record_failure(self, upstream_id, *, now_s):
         """Record that an upstream did not respond; exclude it for a time.
 
         A dead engine looks idle until its missing reports are noticed.
@@ -211,36 +212,38 @@
         self._failed_until_s[upstream_id] = now_s + FAILURE_COOLDOWN_S
 
     def cancel(self, request_id):
-        """Remove work whose caller is gone; return whether it waited."""
+        """Remove work whose caller disconnected; return whether it waited."""
         if self._dispatches.pop(request_id, None) is not None:
             return True
         return bool(self._queue.remove_if(lambda q: _id(q) == request_id))
 
-    def prefilled(self, work, upstream_id, *, cached_tokens, taken_s, now_s):
+    def record_prefill(
+        self, work, upstream_id, *, cached_tokens, duration_s, now_s
+    ):
         """Record the result and duration of a prefill.
 
         Parameters
         ----------
         cached_tokens : int
             Leading tokens that the engine had cached.
-        taken_s : float
+        duration_s : float
             Time from sending the request to its result, in seconds.
         """
         if work.prefix_keys and not cached_tokens:
             self._hints.forget(upstream_id, work.prefix_keys)
-        self._hints.learn(upstream_id, work.prefix_keys, now_s=now_s)
+        self._hints.record(upstream_id, work.prefix_keys, now_s=now_s)
         computed = max(0, work.prompt_tokens - cached_tokens)
         unloaded_s = unloaded_prefill_s(computed)
-        group = slow_group(work, Role.PREFILL)
-        self._slow.observe(
-            group, upstream_id, taken_s / unloaded_s, now_s=now_s
+        group = peer_group(work, Role.PREFILL)
+        self._outliers.observe(
+            group, upstream_id, duration_s / unloaded_s, now_s=now_s
         )
 
-    def first_output(self, work, *, path_s):
+    def record_first_output(self, work, *, first_output_s):
         """Record the time between start and first output, in seconds."""
-        self._estimates.observe_path(work, path_s)
+        self._estimates.observe_first_output(work, first_output_s)
 
-    def finished(self, work, upstream_id, *, tokens, between_s, now_s):
+    def record_output(self, work, upstream_id, *, tokens, output_gap_s, now_s):
         """Record the length and speed of a complete answer.
 
         Parameters
@@ -249,15 +252,15 @@
             The decode engine.
         tokens : int
             Output tokens.
-        between_s : float
+        output_gap_s : float
             Mean time between outputs, in seconds; 0 with fewer than two
             outputs.
         """
         self._estimates.observe_output(work, tokens)
-        if between_s > 0:
-            group = slow_group(work, Role.DECODE)
-            slowness = between_s / DEFAULT_STEP_S
-            self._slow.observe(group, upstream_id, slowness, now_s=now_s)
+        if output_gap_s > 0:
+            group = peer_group(work, Role.DECODE)
+            slowness = output_gap_s / DEFAULT_STEP_S
+            self._outliers.observe(group, upstream_id, slowness, now_s=now_s)
 
     def _callers_at_limit(self):
         dispatches = Counter(
@@ -342,13 +345,13 @@
             work=work,
             output_tokens=expected,
             choice=choice,
-            decode_ask=Ask(
+            decode_request=LedgerRequest(
                 pieces=-(-tokens // decode.tokens_per_piece),
                 kv_bytes=kv_bytes,
                 hold_s=self._estimates.hold_s(work, step_s),
                 **common,
             ),
-            prefill_ask=Ask(
+            prefill_request=LedgerRequest(
                 prefill_tokens=int(work.prompt_tokens - choice.cached_tokens),
                 kv_bytes=kv_bytes,
                 **common,
--- a/currantdeal/policy/shared_load.py
+++ b/currantdeal/policy/shared_load.py
@@ -63,12 +63,12 @@
     Examples
     --------
     >>> load = EntryLoad()
-    >>> load.began("d1", 4000)
+    >>> load.add("d1", 4000)
     >>> load.report(unreachable=()).held
     {'d1': 4000}
     >>> sums = PoolLoad(held={"d1": 10_000}, unreachable={})
-    >>> load.take(sums, now_s=0.0)
-    >>> load.ended("d1", 4000)
+    >>> load.update_sums(sums, now_s=0.0)
+    >>> load.remove("d1", 4000)
     >>> load.tokens("d1", now_s=0.1), load.tokens("d1", now_s=9.0)
     (6000, 0)
     """
@@ -81,11 +81,11 @@
         self._suspects = frozenset()
         self._updated_s = None
 
-    def began(self, upstream, tokens):
+    def add(self, upstream, tokens):
         """Add tokens that this entry holds at an engine from now on."""
         self._own[upstream] = self._own.get(upstream, 0) + tokens
 
-    def ended(self, upstream, tokens):
+    def remove(self, upstream, tokens):
         """Subtract tokens that this entry no longer holds at an engine."""
         remaining = self._own.get(upstream, 0) - tokens
         if remaining > 0:
@@ -93,24 +93,24 @@
         else:
             self._own.pop(upstream, None)
 
-    def report(self, *, unreachable, patience=None):
+    def report(self, *, unreachable, longest_timeouts_s=None):
         """Return the load of this entry, to be sent to the other entries.
 
         Parameters
         ----------
         unreachable : iterable of str
             Engines that this entry recently failed to reach.
-        patience : dict or None
+        longest_timeouts_s : dict or None
             Longest timeout that callers set on each route, in seconds.
         """
         self._reported = dict(self._own)
         return PoolLoad(
             held=self._reported,
             unreachable=dict.fromkeys(unreachable, 1),
-            patience=patience or {},
+            patience=longest_timeouts_s or {},
         )
 
-    def take(self, sums, *, now_s):
+    def update_sums(self, sums, *, now_s):
         """Replace the sums over all entries, which include this one."""
         reported = self._reported
         self._others = {
@@ -141,7 +141,7 @@
             return own
         return own + self._others.get(upstream, 0)
 
-    def unseen(self, tokens, *, now_s):
+    def unreported(self, tokens, *, now_s):
         """Return the estimated placements of others not yet in the sums.
 
         Parameters
@@ -160,18 +160,18 @@
         )
 
 
-class LoadBook:
+class LoadSums:
     """Sums the loads of entries at one control instance.
 
     Examples
     --------
-    >>> book = LoadBook()
+    >>> sums = LoadSums()
     >>> one = PoolLoad(held={"d1": 3000}, unreachable={"d2": 1})
-    >>> book.take_entry("entry-1", one, now_s=0.0)
-    >>> book.take_control("10.0.0.2:7440", one, now_s=0.0)
-    >>> book.here(now_s=0.1).held, book.total(now_s=0.1).held
+    >>> sums.set_entry("entry-1", one, now_s=0.0)
+    >>> sums.set_control("10.0.0.2:7440", one, now_s=0.0)
+    >>> sums.local_total(now_s=0.1).held, sums.total(now_s=0.1).held
     ({'d1': 3000}, {'d1': 6000})
-    >>> book.total(now_s=9.0).held
+    >>> sums.total(now_s=9.0).held
     {}
     """
 
@@ -180,19 +180,19 @@
         self._entries = {}
         self._controls = {}
 
-    def take_entry(self, entry, load, *, now_s):
+    def set_entry(self, entry, load, *, now_s):
         """Store the load of an entry that reports here."""
         self._entries[entry] = (now_s, load)
 
-    def drop_entry(self, entry):
+    def remove_entry(self, entry):
         """Remove an entry that no longer reports here."""
         self._entries.pop(entry, None)
 
-    def take_control(self, sender, load, *, now_s):
+    def set_control(self, sender, load, *, now_s):
         """Store the summed load of the entries of another instance."""
         self._controls[sender] = (now_s, load)
 
-    def here(self, *, now_s):
+    def local_total(self, *, now_s):
         """Return the summed load of the entries that report here."""
         return _sum_loads(_current_loads(self._entries, now_s))
 
@@ -217,13 +217,17 @@
 def _sum_loads(loads):
     held = {}
     unreachable = {}
-    patience = {}
+    longest_timeouts_s = {}
     for load in loads:
         _add_counts(held, load.held)
         _add_counts(unreachable, load.unreachable)
         for route, seconds in load.patience.items():
-            patience[route] = max(seconds, patience.get(route, 0.0))
-    return PoolLoad(held=held, unreachable=unreachable, patience=patience)
+            longest_timeouts_s[route] = max(
+                seconds, longest_timeouts_s.get(route, 0.0)
+            )
+    return PoolLoad(
+        held=held, unreachable=unreachable, patience=longest_timeouts_s
+    )
 
 
 def _add_counts(sums, more):
--- a/currantdeal/policy/shared_budget.py
+++ b/currantdeal/policy/shared_retry_budget.py
@@ -18,7 +18,7 @@
 """Share of the budget that is never used."""
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """Part of one entry in the retry budget of one service.
 
     Parameters
@@ -32,10 +32,10 @@
 
     Examples
     --------
-    >>> budget = SharedBudget(ratio=0.0, allowance=10.0, window_s=10.0)
-    >>> [budget.take(now_s=0.0, entries=2) for _ in range(4)]
+    >>> budget = SharedRetryBudget(ratio=0.0, allowance=10.0, window_s=10.0)
+    >>> [budget.try_use(now_s=0.0, entries=2) for _ in range(4)]
     [True, True, True, False]
-    >>> budget.take(now_s=10.5, entries=2)
+    >>> budget.try_use(now_s=10.5, entries=2)
     True
     """
 
@@ -47,12 +47,12 @@
         self._requests = deque()
         self._retries = deque()
 
-    def note_request(self, *, now_s):
+    def record_request(self, *, now_s):
         """Record a request of a caller."""
         self._requests.append(now_s)
         self._expire(self._requests, now_s)
 
-    def take(self, *, now_s, entries):
+    def try_use(self, *, now_s, entries):
         """Use the budget for one retry; returns False if it is exhausted."""
         if self.left(now_s=now_s, entries=entries) < 1.0:
             return False
--- a/currantdeal/policy/stage_plan.py
+++ b/currantdeal/policy/stage_plan.py
@@ -26,8 +26,8 @@
 
 MIN_GAIN_TO_PREFILL = 1.8  # higher: a decode engine first drains its streams
 
-CHANGE_PAUSE_S = 15.0
-"""Pause between two changes of a service."""
+CHANGE_INTERVAL_S = 15.0
+"""Interval between two changes of a service."""
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/currantdeal/policy/tests/builders.py
+++ b/currantdeal/policy/tests/builders.py
@@ -1,7 +1,7 @@
 """Builders of work, upstreams and reservations for policy tests."""
 
 from currantdeal.core import Role, Upstream, UpstreamKind, Work, WorkKind
-from currantdeal.policy import Ask
+from currantdeal.policy import LedgerRequest
 
 
 def work(name="r1", caller="c", **changes):
@@ -34,8 +34,8 @@
     )
 
 
-def ask(name, caller="c", *, pieces=10, entry="i1", **changes):
-    """Return an ``Ask`` for decode memory."""
-    return Ask(
+def ledger_request(name, caller="c", *, pieces=10, entry="i1", **changes):
+    """Return an ``LedgerRequest`` for decode memory."""
+    return LedgerRequest(
         request_id=name, caller=caller, entry=entry, pieces=pieces, **changes
     )
--- a/currantdeal/policy/tests/test_decode_memory.py
+++ b/currantdeal/policy/tests/test_decode_memory.py
@@ -3,7 +3,7 @@
 
 from currantdeal.policy.decode_memory import (
     FULL_ENGINE_BACKOFF_S,
-    DecodeMemory,
+    DecodeEngineOrder,
     GenerationSize,
     tokens_to_reserve,
 )
@@ -19,7 +19,7 @@
     placed = []
     for _ in range(12):
         name = _order(load, "abc")[0]
-        load.began(name, 4_000)
+        load.add(name, 4_000)
         placed.append(name)
     assert [placed.count(name) for name in "abc"] == [4, 4, 4]
 
@@ -31,23 +31,25 @@
     many short ones as the others, which it then has to preempt.
     """
     load = EntryLoad()
-    load.began("a", 20_000)
+    load.add("a", 20_000)
     placed = []
     for _ in range(8):
         name = _order(load, "ab")[0]
-        load.began(name, 2_500)
+        load.add(name, 2_500)
         placed.append(name)
     assert placed.count("a") == 0
 
 
 def test_engine_that_refused_comes_last_during_backoff():
     load = EntryLoad()
-    memory = DecodeMemory(load=load)
-    memory.refused("a", now_s=0.0)
-    load.began("b", 9_000)
-    order = _order(load, "ab", memory=memory, now_s=0.05)
+    engine_order = DecodeEngineOrder(load=load)
+    engine_order.record_refusal("a", now_s=0.0)
+    load.add("b", 9_000)
+    order = _order(load, "ab", engine_order=engine_order, now_s=0.05)
     assert order == ["b", "a"]
-    later = _order(load, "ab", memory=memory, now_s=FULL_ENGINE_BACKOFF_S)
+    later = _order(
+        load, "ab", engine_order=engine_order, now_s=FULL_ENGINE_BACKOFF_S
+    )
     assert later == ["a", "b"]
 
 
@@ -88,7 +90,7 @@
 def test_open_connection_does_not_outweigh_free_memory():
     """Guards against filling a connected engine while others are idle."""
     load = EntryLoad()
-    load.began("a", 9_000)
+    load.add("a", 9_000)
     order = _order(load, "abc", connected={"a"}.__contains__)
     assert order[-1] == "a"
 
@@ -113,14 +115,14 @@
     load,
     engines,
     *,
-    memory=None,
+    engine_order=None,
     now_s=0.0,
     rng=None,
     distance=lambda name: 0,
     connected=None,
 ):
-    memory = memory or DecodeMemory(load=load)
-    return memory.order(
+    engine_order = engine_order or DecodeEngineOrder(load=load)
+    return engine_order.order(
         engines,
         tokens=4_000,
         capacity=30_000,
--- a/currantdeal/policy/tests/test_ledger.py
+++ b/currantdeal/policy/tests/test_ledger.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as st
 
 from currantdeal.policy import Ledger, LedgerGrant, LedgerLimits, LedgerRefusal
-from currantdeal.policy.tests.builders import ask
+from currantdeal.policy.tests.builders import ledger_request
 
 
 def _ledger(pieces=100, **limits):
@@ -15,18 +15,18 @@
     If the retry reserved memory again, memory would leak.
     """
     ledger = _ledger()
-    first = ledger.reserve(ask("r1", pieces=60), now_s=0.0)
-    assert ledger.reserve(ask("r1", pieces=60), now_s=0.1) == first
+    first = ledger.reserve(ledger_request("r1", pieces=60), now_s=0.0)
+    assert ledger.reserve(ledger_request("r1", pieces=60), now_s=0.1) == first
     assert ledger.pieces_free == 40
 
 
 def test_grants_of_an_expired_entry_are_released():
     """An entry crashes with requests in flight; their memory is released."""
     ledger = _ledger()
-    ledger.reserve(ask("r1", entry="i1"), now_s=0.0)
-    ledger.reserve(ask("r2", entry="i2"), now_s=0.0)
-    dropped = ledger.drop_entry("i1")
-    assert [grant.ask.request_id for grant in dropped] == ["r1"]
+    ledger.reserve(ledger_request("r1", entry="i1"), now_s=0.0)
+    ledger.reserve(ledger_request("r2", entry="i2"), now_s=0.0)
+    dropped = ledger.release_entry("i1")
+    assert [grant.request.request_id for grant in dropped] == ["r1"]
     assert ledger.pieces_free == 90
 
 
@@ -38,17 +38,23 @@
     """
     ledger = _ledger()
     for number in range(10):
-        ledger.reserve(ask(f"s{number}", "short"), now_s=0.0)
+        ledger.reserve(ledger_request(f"s{number}", "short"), now_s=0.0)
     assert isinstance(
-        ledger.reserve(ask("long", "patient", pieces=50), now_s=0.0),
+        ledger.reserve(
+            ledger_request("long", "patient", pieces=50), now_s=0.0
+        ),
         LedgerRefusal,
     )
     for number in range(5):
         now_s = 0.1 * number + 0.05
         ledger.release(f"s{number}")
-        refused = ledger.reserve(ask(f"t{number}", "short"), now_s=now_s)
+        refused = ledger.reserve(
+            ledger_request(f"t{number}", "short"), now_s=now_s
+        )
         assert isinstance(refused, LedgerRefusal)
-        given = ledger.reserve(ask("long", "patient", pieces=50), now_s=now_s)
+        given = ledger.reserve(
+            ledger_request("long", "patient", pieces=50), now_s=now_s
+        )
     assert isinstance(given, LedgerGrant)
 
 
@@ -58,14 +64,15 @@
     Memory kept for it would stay idle.
     """
     ledger = _ledger()
-    ledger.reserve(ask("r1", pieces=100), now_s=0.0)
-    ledger.reserve(ask("gone", "other", pieces=100), now_s=0.0)
+    ledger.reserve(ledger_request("r1", pieces=100), now_s=0.0)
+    ledger.reserve(ledger_request("gone", "other", pieces=100), now_s=0.0)
     ledger.release("r1")
     assert isinstance(
-        ledger.reserve(ask("r2", pieces=10), now_s=0.1), LedgerRefusal
+        ledger.reserve(ledger_request("r2", pieces=10), now_s=0.1),
+        LedgerRefusal,
     )
     assert isinstance(
-        ledger.reserve(ask("r2", pieces=10), now_s=0.5), LedgerGrant
+        ledger.reserve(ledger_request("r2", pieces=10), now_s=0.5), LedgerGrant
     )
 
 
@@ -76,8 +83,8 @@
     output.
     """
     ledger = _ledger()
-    ledger.reserve(ask("old", pieces=50), now_s=0.0)
-    ledger.reserve(ask("new", pieces=50), now_s=0.1)
+    ledger.reserve(ledger_request("old", pieces=50), now_s=0.0)
+    ledger.reserve(ledger_request("new", pieces=50), now_s=0.1)
     assert not ledger.grow("old", pieces=1)
     assert ledger.victim() is None
     assert not ledger.grow("new", pieces=1)
@@ -93,9 +100,10 @@
     """
     ledger = _ledger(output_gap_s=0.04)
     for running in (4, 8, 12):
-        ledger.hear(running=running, step_s=0.012 + 0.002 * running)
+        ledger.record_report(running=running, step_s=0.012 + 0.002 * running)
     results = [
-        ledger.reserve(ask(f"r{n}", pieces=1), now_s=0.0) for n in range(20)
+        ledger.reserve(ledger_request(f"r{n}", pieces=1), now_s=0.0)
+        for n in range(20)
     ]
     granted = [result for result in results if isinstance(result, LedgerGrant)]
     assert len(granted) == 12
@@ -116,13 +124,15 @@
     for now_s, (operation, number, pieces) in enumerate(steps):
         name, entry = f"r{number}", f"i{number % 2}"
         if operation == "reserve":
-            request = ask(name, f"c{number}", entry=entry, pieces=pieces)
+            request = ledger_request(
+                name, f"c{number}", entry=entry, pieces=pieces
+            )
             ledger.reserve(request, now_s=float(now_s))
         elif operation == "grow":
             ledger.grow(name, pieces=pieces)
         elif operation == "release":
             ledger.release(name)
         else:
-            ledger.drop_entry(entry)
+            ledger.release_entry(entry)
         held = sum(grant.pieces for grant in ledger.grants)
         assert 0 <= ledger.pieces_free == 100 - held
--- a/currantdeal/policy/tests/test_reading_turns.py
+++ b/currantdeal/policy/tests/test_local_prefills.py
@@ -1,7 +1,7 @@
 from itertools import pairwise
 from random import Random
 
-from currantdeal.policy.reading_turns import ReadingTurns
+from currantdeal.policy.local_prefills import LocalPrefills
 
 PREFILL_S = 0.15
 NOTICE_S = 0.03
@@ -14,7 +14,7 @@
     seconds.  The other entries are notified after 0.03 s, or never.
     """
     random = Random(4)
-    views = [ReadingTurns() for _ in range(9)]
+    views = [LocalPrefills() for _ in range(9)]
     starts = []
     notices = []
     for arrived_s in sorted(random.uniform(0.0, 30.0) for _ in range(60)):
@@ -22,10 +22,10 @@
             notices.remove((known_s, entry))
             for number, view in enumerate(views):
                 if number != entry:
-                    view.begin("d1", PREFILL_S, now_s=known_s - NOTICE_S)
+                    view.start("d1", PREFILL_S, now_s=known_s - NOTICE_S)
         entry = random.randrange(9)
         wait_s = views[entry].free_in_s("d1", now_s=arrived_s)
-        views[entry].begin("d1", PREFILL_S, now_s=arrived_s)
+        views[entry].start("d1", PREFILL_S, now_s=arrived_s)
         starts.append(arrived_s + wait_s)
         if notify:
             notices.append((arrived_s + NOTICE_S, entry))
@@ -48,9 +48,9 @@
 
     If each notified the others only at its start, both would start together.
     """
-    turns = ReadingTurns()
-    turns.begin("d1", PREFILL_S, now_s=0.0)
-    first_s = turns.free_in_s("d1", now_s=0.1)
-    turns.begin("d1", PREFILL_S, now_s=0.1)
-    second_s = turns.free_in_s("d1", now_s=0.1)
+    prefills = LocalPrefills()
+    prefills.start("d1", PREFILL_S, now_s=0.0)
+    first_s = prefills.free_in_s("d1", now_s=0.1)
+    prefills.start("d1", PREFILL_S, now_s=0.1)
+    second_s = prefills.free_in_s("d1", now_s=0.1)
     assert second_s >= first_s + PREFILL_S
--- a/currantdeal/policy/tests/test_spread_choice.py
+++ b/currantdeal/policy/tests/test_power_of_choices.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from currantdeal.policy.prompt_reader import estimate_prefill
-from currantdeal.policy.spread_choice import order_by_choices
+from currantdeal.policy.power_of_choices import order_by_choices
+from currantdeal.policy.prefill_choice import estimate_prefill
 
 ENGINES = tuple(f"p{number}" for number in range(12))
 TOKENS = 3_000
@@ -24,10 +24,10 @@
         tokens=TOKENS,
         backlog=backlog.get,
         distance=lambda name: 0,
-        suspect=lambda name: False,
+        is_suspect=lambda name: False,
         random=random,
         s_per_token=S_PER_TOKEN,
-        unseen=LAG_S * UTILISATION * len(ENGINES) / (TOKENS * S_PER_TOKEN),
+        unreported=LAG_S * UTILISATION * len(ENGINES) / (TOKENS * S_PER_TOKEN),
     )
     return first.upstream
 
@@ -80,10 +80,10 @@
             tokens=TOKENS,
             backlog=lambda name: 0,
             distance=lambda name: 0 if name in near else 2,
-            suspect=lambda name: False,
+            is_suspect=lambda name: False,
             random=random,
             s_per_token=S_PER_TOKEN,
-            unseen=99.0,
+            unreported=99.0,
         )[0].upstream
         for _ in range(200)
     ]
@@ -95,7 +95,7 @@
     load = {name: number for number, name in enumerate(ENGINES)}
     for _ in range(200):
         order = order_by_choices(
-            ENGINES, cost=load.get, random=random, unseen=99.0
+            ENGINES, cost=load.get, random=random, unreported=99.0
         )
         assert order[0] != ENGINES[-1]
         assert sorted(order) == sorted(ENGINES)
@@ -106,7 +106,7 @@
     random = Random(2)
     firsts = {
         order_by_choices(
-            ENGINES, cost=lambda name: 0, random=random, unseen=99.0
+            ENGINES, cost=lambda name: 0, random=random, unreported=99.0
         )[0]
         for _ in range(200)
     }
@@ -116,6 +116,6 @@
 def test_without_unseen_placements_the_least_loaded_comes_first():
     load = {name: number for number, name in enumerate(ENGINES)}
     order = order_by_choices(
-        ENGINES, cost=load.get, random=Random(3), unseen=0.4
+        ENGINES, cost=load.get, random=Random(3), unreported=0.4
     )
     assert order == list(ENGINES)
--- a/currantdeal/policy/tests/test_prompt_reader.py
+++ b/currantdeal/policy/tests/test_prefill_choice.py
@@ -1,17 +1,17 @@
 from collections import Counter
 from random import Random
 
-from currantdeal.policy.prompt_reader import (
+from currantdeal.policy.prefill_choice import (
     PromptEstimate,
-    decode_engine_reads,
     estimate_prefill,
-    prompt_patience_s,
+    prefers_local_prefill,
+    prefill_timeout_s,
 )
 
 PROMPT_TOKENS = 3_000
 S_PER_TOKEN = 3e-5
 TARGET_S = 0.6
-PAUSE_TARGET_S = 0.3
+GAP_TARGET_S = 0.3
 
 
 def _choose(backlog, *, random=None, distance=None, suspects=()):
@@ -20,7 +20,7 @@
         tokens=PROMPT_TOKENS,
         backlog=backlog.get,
         distance=distance or (lambda name: 0),
-        suspect=lambda name: name in suspects,
+        is_suspect=lambda name: name in suspects,
         random=random or Random(1),
         s_per_token=S_PER_TOKEN,
     )
@@ -29,12 +29,12 @@
 
 def _prefills_locally(wait_s, *, tokens=PROMPT_TOKENS, left_s=TARGET_S):
     best = PromptEstimate(upstream="p1", expected_s=wait_s)
-    return decode_engine_reads(
+    return prefers_local_prefill(
         best,
         tokens=tokens,
         s_per_token=S_PER_TOKEN,
         time_left_s=left_s,
-        pause_target_s=PAUSE_TARGET_S,
+        gap_target_s=GAP_TARGET_S,
     )
 
 
@@ -131,17 +131,17 @@
 
 def test_without_a_prefill_engine_prompts_are_prefilled_locally():
     """Guards against waiting for seconds after the only engine crashed."""
-    assert decode_engine_reads(
+    assert prefers_local_prefill(
         None,
         tokens=6_000,
         s_per_token=S_PER_TOKEN,
         time_left_s=0.0,
-        pause_target_s=PAUSE_TARGET_S,
+        gap_target_s=GAP_TARGET_S,
     )
 
 
 def _timeout_s(expected_s, *, tokens=PROMPT_TOKENS):
-    return prompt_patience_s(
+    return prefill_timeout_s(
         PromptEstimate(upstream="p1", expected_s=expected_s),
         tokens=tokens,
         s_per_token=S_PER_TOKEN,
--- a/currantdeal/policy/tests/test_scheduler.py
+++ b/currantdeal/policy/tests/test_scheduler.py
@@ -23,7 +23,7 @@
 
 
 def _refuse(scheduler, plan, *, now_s, retry_after_s=0.1):
-    scheduler.blocked(
+    scheduler.record_refusal(
         plan,
         plan.choice.decode.upstream_id,
         retry_after_s=retry_after_s,
@@ -34,8 +34,8 @@
 def test_plan_reserves_decode_memory_for_prompt_and_output(scheduler):
     scheduler.submit(work(), now_s=0.0)
     (plan,) = scheduler.poll(now_s=0.0)
-    assert plan.decode_ask.pieces == -(-(800 + plan.output_tokens) // 16)
-    assert plan.prefill_ask.prefill_tokens == 800
+    assert plan.decode_request.pieces == -(-(800 + plan.output_tokens) // 16)
+    assert plan.prefill_request.prefill_tokens == 800
 
 
 def test_failed_engine_is_excluded_temporarily(scheduler):
@@ -43,7 +43,7 @@
 
     Work that is sent there is answered late or not at all.
     """
-    scheduler.failed("d1", now_s=0.0)
+    scheduler.record_failure("d1", now_s=0.0)
     for number in range(8):
         scheduler.submit(work(f"r{number}", f"c{number}"), now_s=0.0)
     plans = scheduler.poll(now_s=0.0)
