--- a/currantdeal/policy/tests/test_shared_load.py
+++ b/currantdeal/policy/tests/test_shared_load.py
@@ -1,13 +1,13 @@
 from collections import Counter
 from random import Random
 
-from currantdeal.policy.decode_memory import FULL, DecodeMemory
-from currantdeal.policy.late_callers import LATE_FULL
+from currantdeal.policy.decode_memory import MAX_FILL, DecodeEngineOrder
+from currantdeal.policy.retry_detection import RETRY_MAX_FILL
 from currantdeal.policy.shared_load import (
     MAX_SUMS_AGE_S,
     SOURCE_TIMEOUT_S,
     EntryLoad,
-    LoadBook,
+    LoadSums,
     PoolLoad,
 )
 
@@ -37,13 +37,13 @@
 def _place_streams(*, entries, rounds, exchange_every):
     engines = [f"d{number}" for number in range(30)]
     loads = [EntryLoad() for _ in range(entries)]
-    book = LoadBook()
+    sums = LoadSums()
     random = Random(5)
     counts = Counter(dict.fromkeys(engines, 0))
     order = [*range(entries)] * rounds
     for placed, index in enumerate(order, start=1):
-        memory = DecodeMemory(load=loads[index])
-        name = memory.order(
+        engine_order = DecodeEngineOrder(load=loads[index])
+        name = engine_order.order(
             engines,
             tokens=TOKENS,
             capacity=CAPACITY * 10,
@@ -51,31 +51,31 @@
             random=random,
             now_s=0.0,
         )[0]
-        loads[index].began(name, TOKENS)
+        loads[index].add(name, TOKENS)
         counts[name] += 1
         if placed % exchange_every == 0:
-            _exchange_loads(loads, book)
+            _exchange_loads(loads, sums)
     return counts
 
 
-def _exchange_loads(loads, book):
+def _exchange_loads(loads, sums):
     for number, load in enumerate(loads):
         report = load.report(unreachable=())
-        book.take_entry(number, report, now_s=0.0)
-    total = book.total(now_s=0.0)
+        sums.set_entry(number, report, now_s=0.0)
+    total = sums.total(now_s=0.0)
     for load in loads:
-        load.take(total, now_s=0.0)
+        load.update_sums(total, now_s=0.0)
 
 
 def test_own_placements_count_before_the_next_report():
     """Guards against ignoring a burst that the entry itself just placed."""
     load = EntryLoad()
     load.report(unreachable=())
-    load.take(_load(d1=8_000), now_s=0.0)
-    load.began("d1", TOKENS)
+    load.update_sums(_load(d1=8_000), now_s=0.0)
+    load.add("d1", TOKENS)
     assert load.tokens("d1", now_s=0.1) == 12_000
     load.report(unreachable=())
-    load.take(_load(d1=12_000), now_s=0.2)
+    load.update_sums(_load(d1=12_000), now_s=0.2)
     assert load.tokens("d1", now_s=0.3) == 12_000
 
 
@@ -86,14 +86,14 @@
     unnecessarily.
     """
     load = EntryLoad()
-    load.began("d1", TOKENS)
+    load.add("d1", TOKENS)
     load.report(unreachable=())
-    load.take(_load(d1=30_000, d2=30_000), now_s=0.0)
+    load.update_sums(_load(d1=30_000, d2=30_000), now_s=0.0)
     later_s = MAX_SUMS_AGE_S + 0.1
     assert not load.has_current_sums(now_s=later_s)
     assert load.tokens("d1", now_s=later_s) == TOKENS
-    memory = DecodeMemory(load=load)
-    order = memory.order(
+    engine_order = DecodeEngineOrder(load=load)
+    order = engine_order.order(
         ["d1", "d2"],
         tokens=TOKENS,
         capacity=CAPACITY,
@@ -111,9 +111,9 @@
     admitted to a full engine preempts another one.
     """
     load = EntryLoad()
-    load.take(_load(d1=30_000, d2=12_000, d3=31_000), now_s=0.0)
-    memory = DecodeMemory(load=load)
-    order = memory.order(
+    load.update_sums(_load(d1=30_000, d2=12_000, d3=31_000), now_s=0.0)
+    engine_order = DecodeEngineOrder(load=load)
+    order = engine_order.order(
         ["d1", "d2", "d3"],
         tokens=5_000,
         capacity=CAPACITY,
@@ -125,25 +125,25 @@
 
 
 def test_load_of_a_silent_entry_expires():
-    book = LoadBook()
-    book.take_entry("entry-1", _load(d1=TOKENS), now_s=0.0)
-    book.take_entry("entry-2", _load(d1=TOKENS), now_s=SOURCE_TIMEOUT_S)
-    assert book.total(now_s=SOURCE_TIMEOUT_S + 0.1).held == {"d1": TOKENS}
-    book.drop_entry("entry-2")
-    assert book.total(now_s=SOURCE_TIMEOUT_S + 0.1).held == {}
+    sums = LoadSums()
+    sums.set_entry("entry-1", _load(d1=TOKENS), now_s=0.0)
+    sums.set_entry("entry-2", _load(d1=TOKENS), now_s=SOURCE_TIMEOUT_S)
+    assert sums.total(now_s=SOURCE_TIMEOUT_S + 0.1).held == {"d1": TOKENS}
+    sums.remove_entry("entry-2")
+    assert sums.total(now_s=SOURCE_TIMEOUT_S + 0.1).held == {}
 
 
 def test_reports_of_one_partitioned_entry_make_no_engine_suspect():
     """Guards against avoiding all engines for one entry without network."""
-    book = LoadBook()
+    sums = LoadSums()
     partitioned = PoolLoad(held={}, unreachable={"d1": 1, "d2": 1})
-    book.take_entry("entry-1", partitioned, now_s=0.0)
+    sums.set_entry("entry-1", partitioned, now_s=0.0)
     load = EntryLoad()
-    load.take(book.total(now_s=0.0), now_s=0.0)
+    load.update_sums(sums.total(now_s=0.0), now_s=0.0)
     assert not load.is_suspect("d1", now_s=0.0)
     other = PoolLoad(held={}, unreachable={"d2": 1})
-    book.take_control("10.0.0.2:7440", other, now_s=0.0)
-    load.take(book.total(now_s=0.0), now_s=0.0)
+    sums.set_control("10.0.0.2:7440", other, now_s=0.0)
+    load.update_sums(sums.total(now_s=0.0), now_s=0.0)
     assert load.is_suspect("d2", now_s=0.0)
     assert not load.is_suspect("d1", now_s=0.0)
 
@@ -151,16 +151,16 @@
 def test_generation_as_large_as_an_engine_goes_to_an_idle_one():
     """Guards against starvation of generations that need a whole engine."""
     load = EntryLoad()
-    load.take(_load(d1=4_000), now_s=0.0)
-    memory = DecodeMemory(load=load)
-    for full in (FULL, LATE_FULL):
-        order = memory.order(
+    load.update_sums(_load(d1=4_000), now_s=0.0)
+    engine_order = DecodeEngineOrder(load=load)
+    for max_fill in (MAX_FILL, RETRY_MAX_FILL):
+        order = engine_order.order(
             ["d1", "d2"],
             tokens=CAPACITY,
             capacity=CAPACITY,
             distance=lambda upstream: 0,
             random=Random(1),
             now_s=0.0,
-            full=full,
+            max_fill=max_fill,
         )
         assert order == ["d2"]
--- a/currantdeal/policy/tests/test_shared_budget.py
+++ b/currantdeal/policy/tests/test_shared_retry_budget.py
@@ -1,11 +1,11 @@
-from currantdeal.policy.shared_budget import SharedBudget
+from currantdeal.policy.shared_retry_budget import SharedRetryBudget
 
 RATIO, ALLOWANCE, WINDOW_S = 0.2, 56.0, 10.0
 
 
 def _budgets(entries):
     return [
-        SharedBudget(ratio=RATIO, allowance=ALLOWANCE, window_s=WINDOW_S)
+        SharedRetryBudget(ratio=RATIO, allowance=ALLOWANCE, window_s=WINDOW_S)
         for _ in range(entries)
     ]
 
@@ -21,9 +21,9 @@
     for step in range(300):
         now_s = step / 10.0
         for budget in budgets:
-            budget.note_request(now_s=now_s)
+            budget.record_request(now_s=now_s)
             requests += 1
-            if budget.take(now_s=now_s, entries=8):
+            if budget.try_use(now_s=now_s, entries=8):
                 retries.append(now_s)
     for start in range(0, 200):
         start_s = start / 10.0
@@ -34,13 +34,15 @@
 
 def test_entry_without_requests_may_retry_at_once():
     (budget,) = _budgets(1)
-    assert budget.take(now_s=0.0, entries=8)
+    assert budget.try_use(now_s=0.0, entries=8)
 
 
 def test_part_of_an_entry_shrinks_with_the_number_of_entries():
     few, many = _budgets(2)
 
     def count_taken(budget, entries):
-        return sum(budget.take(now_s=0.0, entries=entries) for _ in range(99))
+        return sum(
+            budget.try_use(now_s=0.0, entries=entries) for _ in range(99)
+        )
 
     assert count_taken(few, 8) > count_taken(many, 80)
--- a/currantdeal/policy/tests/test_small_decisions.py
+++ b/currantdeal/policy/tests/test_small_decisions.py
@@ -8,12 +8,12 @@
     Estimates,
     FairQueue,
     LoadView,
+    OutlierDetector,
     OutputLengths,
     Placement,
     PrefixHints,
     Refused,
     RetryBudget,
-    SlowUpstreams,
     StartRate,
     UserWeights,
 )
@@ -29,7 +29,7 @@
         cost_s=1.0,
         queued_s=10.0,
         rate_per_s=1.0,
-        path_s=0.1,
+        first_output_s=0.1,
     )
     assert isinstance(decision, Refused)
     assert 1.0 <= decision.retry_after_s <= 45.0
@@ -75,7 +75,7 @@
     budget = RetryBudget(rng=Random(1))
     retries = 0
     for _ in range(1_000):
-        budget.record_try()
+        budget.record_first_attempt()
         decision = budget.decide(ran=Ran.NO, idempotent=True, attempts=1)
         retries += decision.allowed
     assert retries <= 1_000 * 0.1 + 10
@@ -86,18 +86,18 @@
 
     If all of them were ejected, the others would be overloaded.
     """
-    slow = SlowUpstreams()
+    outliers = OutlierDetector()
     for _ in range(10):
         for number in range(9):
             ratio = 5.0 if number >= 5 else 1.0
-            slow.observe("g", f"u{number}", ratio, now_s=0.0)
-    assert len(slow.ejected("g")) == 3
-    name = slow.ejected("g")[0]
-    assert slow.is_out("g", name, now_s=EJECTION_S - 0.1)
-    assert not slow.is_out("g", name, now_s=EJECTION_S)
+            outliers.observe("g", f"u{number}", ratio, now_s=0.0)
+    assert len(outliers.ejected("g")) == 3
+    name = outliers.ejected("g")[0]
+    assert outliers.is_ejected("g", name, now_s=EJECTION_S - 0.1)
+    assert not outliers.is_ejected("g", name, now_s=EJECTION_S)
     for _ in range(20):
-        slow.observe("g", name, 1.0, now_s=EJECTION_S)
-    assert name not in slow.ejected("g")
+        outliers.observe("g", name, 1.0, now_s=EJECTION_S)
+    assert name not in outliers.ejected("g")
 
 
 def test_hot_prefix_spreads_when_its_engine_is_busy():
@@ -107,9 +107,11 @@
     their deadlines.
     """
     hints = PrefixHints()
-    hints.learn("p1", tuple(range(12)), now_s=0.0)
+    hints.record("p1", tuple(range(12)), now_s=0.0)
     loads = LoadView(source=lambda name: None)
-    placement = Placement(rng=Random(1), hints=hints, slow=SlowUpstreams())
+    placement = Placement(
+        rng=Random(1), hints=hints, outliers=OutlierDetector()
+    )
     request = work(prompt_tokens=3_200, prefix_keys=tuple(range(12)))
     chosen = []
     for _ in range(6):
@@ -131,7 +133,7 @@
     near, far = engine("near"), engine("far", region="r2")
     loads = LoadView(source=lambda name: None)
     placement = Placement(
-        rng=Random(1), hints=PrefixHints(), slow=SlowUpstreams()
+        rng=Random(1), hints=PrefixHints(), outliers=OutlierDetector()
     )
 
     def chosen():
--- a/currantdeal/policy/tests/test_stage_plan.py
+++ b/currantdeal/policy/tests/test_stage_plan.py
@@ -86,9 +86,9 @@
     total = Demand()
     for number in range(40):
         meter = DemandMeter()
-        meter.offer()
-        meter.read(3_000, 0.1 if number == 7 else 0.25)
-        meter.end(4_000, 3.0)
+        meter.record_offered()
+        meter.record_prefill(3_000, 0.1 if number == 7 else 0.25)
+        meter.record_completed(4_000, 3.0)
         total += meter.take()
     busy = busy_engines(total, window_s=10.0, kv_tokens=30_000)
     assert round(busy.prefill, 2) == 0.4
@@ -104,10 +104,10 @@
     """
     meter = DemandMeter()
     for _ in range(180):
-        meter.offer()
+        meter.record_offered()
     for _ in range(90):
-        meter.read(3_200, 0.11)
-        meter.end(3_800, 3.0)
+        meter.record_prefill(3_200, 0.11)
+        meter.record_completed(3_800, 3.0)
     demand = meter.take()
     busy = busy_engines(demand, window_s=15.0, kv_tokens=40_000)
     (change,) = plan_stages(_engines(2, 2), busy=busy)
--- a/currantdeal/policy/standing.py
+++ b/currantdeal/policy/upstream_health.py
@@ -42,20 +42,20 @@
         self.failures = 0
         self.ejected_until_s = 0.0
         self.unresponsive_until_s = NEVER_S
-        self.answered_s = NEVER_S
+        self.last_answer_s = NEVER_S
         self.reported = 0
         self.reported_s = NEVER_S
 
 
-class Standings:
+class UpstreamHealth:
     """Health and load of each upstream, as one entry observes them.
 
     Examples
     --------
-    >>> standings = Standings()
-    >>> standings.unreachable("u1", now_s=0.0)
+    >>> health = UpstreamHealth()
+    >>> health.eject("u1", now_s=0.0)
     0.5
-    >>> standings.is_out("u1", now_s=0.4), standings.is_out("u1", now_s=0.6)
+    >>> health.is_ejected("u1", now_s=0.4), health.is_ejected("u1", now_s=0.6)
     (True, False)
     """
 
@@ -63,11 +63,11 @@
         """Start without observations."""
         self._states = {}
 
-    def began(self, upstream):
+    def request_started(self, upstream):
         """Record that a request was sent to an upstream."""
         self._state_of(upstream).outstanding += 1
 
-    def ended(self, upstream):
+    def request_ended(self, upstream):
         """Record the end of a request that was sent to an upstream."""
         self._state_of(upstream).outstanding -= 1
 
@@ -75,7 +75,7 @@
         """Return the number of this entry's open requests at an upstream."""
         return self._state_of(upstream).outstanding
 
-    def answered(self, upstream, *, error, now_s=NEVER_S):
+    def record_answer(self, upstream, *, error, now_s=NEVER_S):
         """Record an answer and readmit the upstream if it was ejected.
 
         Parameters
@@ -83,20 +83,20 @@
         error : bool
             Whether the upstream answered with an error.
         now_s : float
-            Time of the answer; without it, ``answered_s`` stays as it is.
+            Time of the answer; without it, ``last_answer_s`` stays as it is.
         """
         state = self._state_of(upstream)
-        state.answered_s = max(state.answered_s, now_s)
+        state.last_answer_s = max(state.last_answer_s, now_s)
         state.unresponsive_until_s = NEVER_S
         state.failures = 0
         state.ejected_until_s = 0.0
         state.error_rate += SMOOTHING * (float(error) - state.error_rate)
 
-    def answered_s(self, upstream):
+    def last_answer_s(self, upstream):
         """Return the time of the last answer recorded with a time."""
-        return self._state_of(upstream).answered_s
+        return self._state_of(upstream).last_answer_s
 
-    def unreachable(self, upstream, *, now_s, grace_s=0.0):
+    def eject(self, upstream, *, now_s, grace_s=0.0):
         """Eject an upstream that refused a connection or did not answer.
 
         Returns the time after which to retry it, in seconds.
@@ -112,7 +112,7 @@
         state.ejected_until_s = now_s + pause_s + grace_s
         return pause_s
 
-    def timed_out(self, upstream, *, now_s):
+    def record_timeout(self, upstream, *, now_s):
         """Record a timeout without ejection; the upstream may only be busy."""
         state = self._state_of(upstream)
         state.unresponsive_until_s = now_s + UNRESPONSIVE_S
@@ -128,11 +128,11 @@
             if now_s < state.unresponsive_until_s
         )
 
-    def reachable(self, upstream):
+    def readmit(self, upstream):
         """Readmit an ejected upstream that answers again."""
         self._state_of(upstream).ejected_until_s = 0.0
 
-    def reported(self, upstream, requests, *, now_s):
+    def record_load(self, upstream, requests, *, now_s):
         """Record the load that an upstream reported.
 
         Parameters
@@ -144,11 +144,11 @@
         state.reported = requests
         state.reported_s = now_s
 
-    def is_out(self, upstream, *, now_s):
+    def is_ejected(self, upstream, *, now_s):
         """Return whether an upstream is ejected now."""
         return now_s < self._state_of(upstream).ejected_until_s
 
-    def out(self, *, now_s):
+    def ejected(self, *, now_s):
         """Return the names of the upstreams that are ejected now."""
         return tuple(
             name
@@ -171,9 +171,9 @@
         return self._states.setdefault(upstream, _UpstreamState())
 
 
-def in_order(
+def order_upstreams(
     records,
-    standings,
+    health,
     *,
     distance,
     random,
@@ -188,7 +188,7 @@
     ----------
     records : iterable of UpstreamRecord
         The upstreams of one service that accept requests.
-    standings : Standings
+    health : UpstreamHealth
         Health and load of the upstreams.
     distance : callable
         0 for a record in the same data centre, 1 in the same region, 2
@@ -197,10 +197,10 @@
 
     def key(record):
         name = record.upstream
-        load = standings.load(name, record.slots, now_s=now_s)
+        load = health.load(name, record.slots, now_s=now_s)
         penalty = CROSS_REGION_PENALTY * (distance(record) == 2)
         return (
-            standings.is_out(name, now_s=now_s),
+            health.is_ejected(name, now_s=now_s),
             load + penalty,
             distance(record),
             random.random(),
--- a/currantdeal/policy/waiters.py
+++ b/currantdeal/policy/waiters.py
@@ -45,19 +45,19 @@
     last_request_s: float
 
 
-class Waiters:
+class WaitQueue:
     """Requests that wait for one upstream, and the usage of their callers.
 
     Examples
     --------
-    >>> from currantdeal.policy import Waiters
-    >>> waiters = Waiters()
-    >>> waiters.charge("hot", 5.0, now_s=0.0)
-    >>> waiters.enqueue("h1", "hot", now_s=0.0)
-    >>> waiters.enqueue("p1", "polite", now_s=0.05)
-    >>> waiters.is_next("h1", "hot", now_s=0.1)
+    >>> from currantdeal.policy import WaitQueue
+    >>> queue = WaitQueue()
+    >>> queue.charge("hot", 5.0, now_s=0.0)
+    >>> queue.enqueue("h1", "hot", now_s=0.0)
+    >>> queue.enqueue("p1", "polite", now_s=0.05)
+    >>> queue.is_next("h1", "hot", now_s=0.1)
     False
-    >>> waiters.is_next("p1", "polite", now_s=0.1)
+    >>> queue.is_next("p1", "polite", now_s=0.1)
     True
     """
 
--- a/currantdeal/registry/records.py
+++ b/currantdeal/registry/records.py
@@ -55,7 +55,7 @@
     software: str = ""
 
     @property
-    def order(self):
+    def sort_key(self):
         """Sort key of records of one upstream; the last record is current.
 
         Later incarnations sort last; within an incarnation, a leave does.
@@ -89,6 +89,6 @@
     sequence: int
 
     @property
-    def order(self):
+    def sort_key(self):
         """Sort key of records of one entry; the last record is current."""
         return (self.started_ms, self.sequence)
--- a/currantdeal/registry/tests/test_upstreams.py
+++ b/currantdeal/registry/tests/test_upstreams.py
@@ -74,9 +74,9 @@
 def test_a_renewal_received_elsewhere_ends_silence():
     registry = _registry()
     registry.merge(an_upstream(sequence=1), now_s=0.0)
-    registry.heard("u1", 1_000, 4, now_s=7.0)
+    registry.on_heartbeat("u1", 1_000, 4, now_s=7.0)
     assert not registry.is_silent("u1", now_s=7.2)
-    registry.heard("u1", 900, 9, now_s=20.0)
+    registry.on_heartbeat("u1", 900, 9, now_s=20.0)
     assert registry.is_silent("u1", now_s=20.0)
 
 
--- a/currantdeal/registry/upstreams.py
+++ b/currantdeal/registry/upstreams.py
@@ -93,7 +93,7 @@
         the upstream from counting as silent.
         """
         current = self._records.get(record.upstream)
-        if current is not None and record.order <= current.order:
+        if current is not None and record.sort_key <= current.sort_key:
             return False
         if not self._resolve_address_conflict(record):
             return False
@@ -123,7 +123,7 @@
         self._last_heartbeat_s[upstream] = now_s
         return gone
 
-    def heard(self, upstream, started_ms, sequence, *, now_s):
+    def on_heartbeat(self, upstream, started_ms, sequence, *, now_s):
         """Record a renewal that another control instance received."""
         current = self._records.get(upstream)
         if current is None or current.started_ms != started_ms:
--- a/currantdeal/routing/__init__.py
+++ b/currantdeal/routing/__init__.py
@@ -4,7 +4,7 @@
 from currantdeal.routing.config import (
     CallerLimits,
     EngineTraits,
-    Repeat,
+    RetrySafety,
     Route,
     RoutingConfig,
     Service,
@@ -17,7 +17,7 @@
     "CallerLimits",
     "EngineTraits",
     "InvalidConfigError",
-    "Repeat",
+    "RetrySafety",
     "Route",
     "RouteTable",
     "RoutingConfig",
--- a/currantdeal/routing/config.py
+++ b/currantdeal/routing/config.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 
-class Repeat(str, Enum):
+class RetrySafety(str, Enum):
     """Whether a request may be sent to an upstream more than once.
 
     ``FREELY`` marks idempotent requests.  ``RESUMABLE`` streams may continue
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    repeat : Repeat
+    retry_safety : RetrySafety
         Whether the requests may be sent more than once.
     streaming : bool
         True if the answer is a stream of events.
@@ -45,11 +45,11 @@
         Timeout of the complete answer.
     target_s : float
         Target latency of the answer, or of its first event.
-    pause_target_s : float
+    gap_target_s : float
         Target for the longest gap between events of a stream; 0 if none.
     max_upstreams : int
         Maximum number of upstreams that may run one request.
-    rank : int
+    priority : int
         Priority; 0 is the highest.
     """
 
@@ -57,13 +57,13 @@
     host: str
     prefix: str
     services: tuple[WeightedService, ...]
-    repeat: Repeat
+    retry_safety: RetrySafety
     streaming: bool
     timeout_s: float
     target_s: float
-    pause_target_s: float = 0.0
+    gap_target_s: float = 0.0
     max_upstreams: int = 1
-    rank: int = 0
+    priority: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -82,7 +82,7 @@
         Number of tokens in one event of a stream.
     switch_s : float
         Time that an engine takes to switch between prefill and decode.
-    handle_s : float
+    kv_handle_ttl_s : float
         Time for which a prefill engine keeps the KV cache of a prompt that
         another engine will fetch.
     """
@@ -92,7 +92,7 @@
     hold_s: float
     tokens_per_event: int
     switch_s: float
-    handle_s: float = 0.0
+    kv_handle_ttl_s: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -112,9 +112,9 @@
 class CallerLimits:
     """Size limits and timeouts of a caller's requests."""
 
-    max_head_bytes: int = 16_384
+    max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
-    head_timeout_s: float = 3.0
+    header_timeout_s: float = 3.0
     idle_timeout_s: float = 15.0
 
 
--- a/currantdeal/routing/table.py
+++ b/currantdeal/routing/table.py
@@ -68,7 +68,7 @@
                 return route
         return None
 
-    def draw_service(self, route, random):
+    def choose_service(self, route, random):
         """Return a random service of a route, according to the weights."""
         names = [weighted.service for weighted in route.services]
         if len(names) == 1:
--- a/currantdeal/routing/tests/builders.py
+++ b/currantdeal/routing/tests/builders.py
@@ -1,7 +1,7 @@
 """Builds routes and configurations for tests."""
 
 from currantdeal.routing import (
-    Repeat,
+    RetrySafety,
     Route,
     RoutingConfig,
     Service,
@@ -26,7 +26,7 @@
         "host": "cakes.example",
         "prefix": "/menu/",
         "services": (WeightedService(service="shop", weight=1),),
-        "repeat": Repeat.FREELY,
+        "retry_safety": RetrySafety.FREELY,
         "streaming": False,
         "timeout_s": 1.0,
         "target_s": 0.3,
--- a/currantdeal/serving/calls.py
+++ b/currantdeal/serving/calls.py
@@ -20,7 +20,7 @@
     ClaimedCalls,
 )
 from currantdeal.serving.errors import (
-    CallerGoneError,
+    CallerDisconnectedError,
     Reason,
     RefusedError,
     not_run,
@@ -52,7 +52,7 @@
     ----------
     services : ServicePort
         Client of the services.
-    claims : ClaimBook
+    claims : ClaimManager
         Claims on calls that must run at most once.
     view : ServingView
         Which upstreams are allowed, under the lease.
@@ -172,8 +172,8 @@
                 reason=Reason.NO_MATCHING_UPSTREAM,
                 retry_after_s=RETRY_AFTER_S,
             )
-        if request.gone():
-            raise CallerGoneError("the caller disconnected")
+        if request.is_disconnected():
+            raise CallerDisconnectedError("the caller disconnected")
         started_s = self._clock.monotonic_s()
         left_s = self._time_to_send_s(work)
         try:
@@ -184,9 +184,9 @@
             self._crashes.record_crash(request, upstream)
             raise
         self._crashes.record_completion(request)
-        taken_s = self._clock.monotonic_s() - started_s
+        duration_s = self._clock.monotonic_s() - started_s
         self._decisions.record_service(
-            work, upstream, slowness=taken_s / TYPICAL_CALL_S
+            work, upstream, slowness=duration_s / TYPICAL_CALL_S
         )
         return answer
 
--- a/currantdeal/serving/claimed_calls.py
+++ b/currantdeal/serving/claimed_calls.py
@@ -12,7 +12,11 @@
 import pykka
 
 from currantdeal.core import CurrantdealError, Outcome
-from currantdeal.serving.errors import CallerGoneError, Reason, RefusedError
+from currantdeal.serving.errors import (
+    CallerDisconnectedError,
+    Reason,
+    RefusedError,
+)
 
 LATE_ANSWER_TIMEOUT_S = 30.0
 """Time after the deadline for which the service may still answer."""
@@ -27,7 +31,7 @@
 
     Parameters
     ----------
-    claims : ClaimBook
+    claims : ClaimManager
         Ends claims.
     clock : Clock
         Time for deadlines.
@@ -96,7 +100,7 @@
             else:
                 self._claims.abandon(claim)
             raise
-        except CallerGoneError:
+        except CallerDisconnectedError:
             # Disconnection is only checked before a call is sent.
             self._claims.release(claim)
             raise
--- a/currantdeal/serving/claims.py
+++ b/currantdeal/serving/claims.py
@@ -13,7 +13,7 @@
 from currantdeal.core import Outcome, StateUnavailableError
 from currantdeal.ports import Header, ServiceAnswer
 from currantdeal.serving.errors import (
-    CallerGoneError,
+    CallerDisconnectedError,
     Reason,
     RefusedError,
     not_run,
@@ -64,7 +64,7 @@
     stored_answer: ServiceAnswer | None = None
 
 
-class ClaimBook:
+class ClaimManager:
     """Takes and ends claims through the replicated state.
 
     Parameters
@@ -91,7 +91,7 @@
         ------
         RefusedError
             If the call must not be sent.
-        CallerGoneError
+        CallerDisconnectedError
             If the caller disconnects while another call with the key runs.
         """
         work = request.work
@@ -109,8 +109,8 @@
                 return HeldClaim(key=key, stored_answer=stored)
             if self._clock.monotonic_s() + backoff_s >= until_s:
                 raise _still_running()
-            if request.gone():
-                raise CallerGoneError("the caller disconnected")
+            if request.is_disconnected():
+                raise CallerDisconnectedError("the caller disconnected")
             self._clock.sleep(backoff_s)
             backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
--- a/currantdeal/serving/parts.py
+++ b/currantdeal/serving/context.py
@@ -13,14 +13,14 @@
 from currantdeal.ports import Clock, EnginePort, HomesPort, MetricsPort
 from currantdeal.serving.cleanup import Cleaner
 from currantdeal.serving.crash_guard import CrashGuard
-from currantdeal.serving.hangups import HangUpMonitor
+from currantdeal.serving.disconnects import DisconnectMonitor
+from currantdeal.serving.idle_timeouts import IdleTimeouts
 from currantdeal.serving.reservations import Reserver
-from currantdeal.serving.silence import SilenceLimits
 from currantdeal.serving.view import ServingView
 
 
 @dataclass(frozen=True, kw_only=True)
-class ServingParts:
+class ServingContext:
     """Ports and helpers shared by all requests of one instance."""
 
     engines: EnginePort
@@ -28,11 +28,11 @@
     clock: Clock
     metrics: MetricsPort
     cleaner: Cleaner
-    silence: SilenceLimits
+    idle_timeouts: IdleTimeouts
     decisions: pykka.ActorProxy
     reserver: Reserver
     view: ServingView
-    hangups: HangUpMonitor
+    disconnects: DisconnectMonitor
     crashes: CrashGuard
 
     @contextlib.contextmanager
--- a/currantdeal/serving/crash_guard.py
+++ b/currantdeal/serving/crash_guard.py
@@ -1,14 +1,18 @@
 """Quarantines requests that crash upstreams.
 
-Load pattern: query of death, see ``currantdeal.policy.crash_book``.  Each
-instance keeps its own ``CrashBook``.
+Load pattern: query of death, see ``currantdeal.policy.crash_registry``.  Each
+instance keeps its own ``CrashRegistry``.
 """
 
 import threading
 
 import structlog
 
-from currantdeal.policy.crash_book import EARLY_WEIGHT, Crash, CrashBook
+from currantdeal.policy.crash_registry import (
+    EARLY_WEIGHT,
+    Crash,
+    CrashRegistry,
+)
 from currantdeal.serving.errors import Reason, not_run
 
 RETRY_AFTER_S = 60.0
@@ -28,7 +32,7 @@
 
     def __init__(self):
         """Start without recorded crashes."""
-        self._book = CrashBook()
+        self._crash_registry = CrashRegistry()
         self._lock = threading.Lock()
 
     def check(self, request):
@@ -40,9 +44,9 @@
             With ``Reason.QUARANTINED``; it has not run.
         """
         with self._lock:
-            refused = bool(self._book) and self._book.is_quarantined(
-                request.fingerprint
-            )
+            refused = bool(
+                self._crash_registry
+            ) and self._crash_registry.is_quarantined(request.fingerprint)
         if refused:
             raise not_run(
                 "the request is quarantined, since upstreams that ran it "
@@ -65,9 +69,11 @@
             early=early,
         )
         with self._lock:
-            self._book.add_crash(request.fingerprint, crash)
-            score = self._book.score(request.fingerprint)
-            quarantined = self._book.is_quarantined(request.fingerprint)
+            self._crash_registry.add_crash(request.fingerprint, crash)
+            score = self._crash_registry.score(request.fingerprint)
+            quarantined = self._crash_registry.is_quarantined(
+                request.fingerprint
+            )
         _log.warning(
             "upstream-crashed",
             request=str(request.work.request_id),
@@ -80,8 +86,8 @@
     def record_completion(self, request):
         """Clear a request that an upstream has answered completely."""
         with self._lock:
-            if self._book:
-                self._book.add_completion(request.fingerprint)
+            if self._crash_registry:
+                self._crash_registry.add_completion(request.fingerprint)
 
     def may_retry(self, request):
         """Return whether a failed attempt may be retried.
@@ -90,6 +96,8 @@
         does not prevent a retry.
         """
         with self._lock:
-            if not self._book:
+            if not self._crash_registry:
                 return True
-            return self._book.score(request.fingerprint) <= EARLY_WEIGHT
+            return (
+                self._crash_registry.score(request.fingerprint) <= EARLY_WEIGHT
+            )
--- a/currantdeal/serving/decisions.py
+++ b/currantdeal/serving/decisions.py
@@ -18,6 +18,7 @@
     EVEN_WEIGHTS,
     Admission,
     FairQueue,
+    OutlierDetector,
     OutputLengths,
     Placement,
     Pools,
@@ -25,9 +26,8 @@
     Refused,
     RetryBudget,
     Scheduler,
-    SlowUpstreams,
     Wait,
-    slow_group,
+    peer_group,
 )
 from currantdeal.serving.errors import RefusedError
 from currantdeal.serving.view import ServingView
@@ -113,7 +113,7 @@
         self._weights = weights
         self._caller_weights = caller_weights or {}
         self._hints = PrefixHints()
-        self._slow = SlowUpstreams()
+        self._outliers = OutlierDetector()
         self._lengths = OutputLengths()
         self._retries = RetryBudget(rng=rng)
         self._schedulers = {}
@@ -122,7 +122,7 @@
 
     def submit(self, work):
         """Return a ``Ticket``, or ``Refused`` by admission control."""
-        self._retries.record_try()
+        self._retries.record_first_attempt()
         scheduler = self._scheduler(work)
         decision = scheduler.submit(work, now_s=self._now_s())
         if isinstance(decision, Refused):
@@ -138,7 +138,7 @@
     def record_reserved(self, plan):
         """Record that both engines of a plan are reserved."""
         scheduler = self._scheduler(plan.work)
-        scheduler.reserved(plan, now_s=self._now_s())
+        scheduler.record_reserved(plan, now_s=self._now_s())
         self._poll(scheduler)
 
     def record_refusal(self, plan, upstream_id, retry_after_s):
@@ -150,7 +150,7 @@
             For the next decision on the request.
         """
         scheduler = self._scheduler(plan.work)
-        scheduler.blocked(
+        scheduler.record_refusal(
             plan,
             upstream_id,
             retry_after_s=retry_after_s,
@@ -170,19 +170,21 @@
     def rank_services(self, work, upstreams):
         """Return services, fast ones first, then by requests in progress."""
         now_s = self._now_s()
-        group = slow_group(work, Role.SERVICE)
+        group = peer_group(work, Role.SERVICE)
 
         def sort_key(upstream):
             report = self._load(upstream.upstream_id)
             load = report.running + report.queued if report else 0
-            slow = self._slow.is_out(group, upstream.upstream_id, now_s=now_s)
-            return (slow, load)
+            ejected = self._outliers.is_ejected(
+                group, upstream.upstream_id, now_s=now_s
+            )
+            return (ejected, load)
 
         return sorted(upstreams, key=sort_key)
 
     def record_call(self):
         """Credit the retry budget for a call to a plain service."""
-        self._retries.record_try()
+        self._retries.record_first_attempt()
 
     def decide_retry(self, work, *, ran, attempts):
         """Return the retry budget's ``RetryDecision`` on a failed attempt."""
@@ -193,31 +195,35 @@
             time_left_s=work.deadline_s - self._now_s(),
         )
 
-    def record_prefill(self, upstream, work, *, cached_tokens, taken_s):
+    def record_prefill(self, upstream, work, *, cached_tokens, duration_s):
         """Record where a prompt was computed, and how fast."""
-        self._scheduler(work).prefilled(
+        self._scheduler(work).record_prefill(
             work,
             upstream.upstream_id,
             cached_tokens=cached_tokens,
-            taken_s=taken_s,
+            duration_s=duration_s,
             now_s=self._now_s(),
         )
 
     def record_failure(self, work, upstream):
         """Record that an upstream was unreachable or timed out."""
-        self._scheduler(work).failed(upstream.upstream_id, now_s=self._now_s())
+        self._scheduler(work).record_failure(
+            upstream.upstream_id, now_s=self._now_s()
+        )
 
-    def record_first_output(self, work, path_s):
+    def record_first_output(self, work, first_output_s):
         """Record the time between start and first output."""
-        self._scheduler(work).first_output(work, path_s=path_s)
+        self._scheduler(work).record_first_output(
+            work, first_output_s=first_output_s
+        )
 
-    def record_output(self, work, upstream, *, tokens, between_s):
+    def record_output(self, work, upstream, *, tokens, output_gap_s):
         """Record the length and speed of one complete answer."""
-        self._scheduler(work).finished(
+        self._scheduler(work).record_output(
             work,
             upstream.upstream_id,
             tokens=tokens,
-            between_s=between_s,
+            output_gap_s=output_gap_s,
             now_s=self._now_s(),
         )
 
@@ -229,8 +235,8 @@
         slowness : float
             Response time divided by a typical one.
         """
-        self._slow.observe(
-            slow_group(work, Role.SERVICE),
+        self._outliers.observe(
+            peer_group(work, Role.SERVICE),
             upstream.upstream_id,
             slowness,
             now_s=self._now_s(),
@@ -253,9 +259,9 @@
             admission=Admission(rng=self._rng, weights=self._weights),
             lengths=self._lengths,
             hints=self._hints,
-            slow=self._slow,
+            outliers=self._outliers,
             placement=Placement(
-                rng=self._rng, hints=self._hints, slow=self._slow
+                rng=self._rng, hints=self._hints, outliers=self._outliers
             ),
         )
 
@@ -290,7 +296,7 @@
         report = self._load(upstream_id)
         if report is not None and report != self._reports.get(upstream_id):
             self._reports[upstream_id] = report
-            self._hints.learn(
+            self._hints.record(
                 upstream_id, report.cached_prefixes, now_s=self._now_s()
             )
         return report
--- a/currantdeal/serving/hangups.py
+++ b/currantdeal/serving/disconnects.py
@@ -26,7 +26,7 @@
     engine_request_id: RequestId
 
 
-class HangUpMonitor:
+class DisconnectMonitor:
     """Cancels watched calls whose callers have disconnected.
 
     Parameters
@@ -69,7 +69,11 @@
     def check_callers(self):
         """Cancel the calls whose callers have disconnected, once each."""
         with self._lock:
-            abandoned = [call for call in self._watched if call.request.gone()]
+            abandoned = [
+                call
+                for call in self._watched
+                if call.request.is_disconnected()
+            ]
             self._watched.difference_update(abandoned)
         for call in abandoned:
             self._cleaner.cancel(call.upstream, call.engine_request_id)
--- a/currantdeal/serving/errors.py
+++ b/currantdeal/serving/errors.py
@@ -12,7 +12,7 @@
     """Base class of the serving layer's errors."""
 
 
-class CallerGoneError(ServingError):
+class CallerDisconnectedError(ServingError):
     """The caller has disconnected, so that no answer is sent."""
 
 
--- a/currantdeal/serving/generation.py
+++ b/currantdeal/serving/generation.py
@@ -16,7 +16,7 @@
     outcome_of,
 )
 from currantdeal.serving.errors import (
-    CallerGoneError,
+    CallerDisconnectedError,
     Reason,
     RefusedError,
     late_answer,
@@ -34,13 +34,13 @@
 
     Parameters
     ----------
-    parts : ServingParts
+    context : ServingContext
         Shared dependencies.
     """
 
-    def __init__(self, *, parts):
+    def __init__(self, *, context):
         """Store the dependencies."""
-        self._parts = parts
+        self._context = context
 
     def open(self, request):
         """Return a ``FailoverStream`` whose first output has arrived.
@@ -49,17 +49,17 @@
         ------
         RefusedError
             If the request fails or is not admitted.
-        CallerGoneError
+        CallerDisconnectedError
             If the caller has disconnected.
         """
-        self._parts.crashes.check(request)
-        attempts = Attempts(parts=self._parts, request=request)
+        self._context.crashes.check(request)
+        attempts = Attempts(context=self._context, request=request)
         return FailoverStream(attempts=attempts, stream=attempts.open())
 
     def complete(self, request):
         """Return the whole answer; retries if the output breaks off."""
-        self._parts.crashes.check(request)
-        attempts = Attempts(parts=self._parts, request=request)
+        self._context.crashes.check(request)
+        attempts = Attempts(context=self._context, request=request)
         stream = attempts.open()
         while True:
             with contextlib.closing(stream):
@@ -75,15 +75,15 @@
 
     Parameters
     ----------
-    parts : ServingParts
+    context : ServingContext
         Shared dependencies.
     request : GenerationRequest
         The request.
     """
 
-    def __init__(self, *, parts, request):
+    def __init__(self, *, context, request):
         """Start without an attempt."""
-        self._parts = parts
+        self._context = context
         self._request = request
         self._count = 0
         self._ran = Ran.NO
@@ -105,7 +105,7 @@
         attempt gets the same time allowance again.
         """
         work = self._request.work
-        now_s = self._parts.clock.monotonic_s()
+        now_s = self._context.clock.monotonic_s()
         deadline_s = now_s + work.deadline_s - work.arrived_s
         work = replace(work, arrived_s=now_s, deadline_s=deadline_s)
         self._request = replace(self._request, work=work)
@@ -116,12 +116,12 @@
         """Sleep before the next attempt, or raise if there is none."""
         work = self._request.work
         self._record_outcome(failure.ran)
-        if self._request.gone():
-            raise CallerGoneError("the caller disconnected")
-        decision = self._parts.decisions.decide_retry(
+        if self._request.is_disconnected():
+            raise CallerDisconnectedError("the caller disconnected")
+        decision = self._context.decisions.decide_retry(
             work, ran=failure.ran, attempts=self._count
         ).get()
-        may_retry = self._parts.crashes.may_retry(self._request)
+        may_retry = self._context.crashes.may_retry(self._request)
         if not (decision.allowed and may_retry):
             raise RefusedError(
                 f"the engines failed: {failure}",
@@ -129,8 +129,8 @@
                 outcome=outcome_of(self._ran),
                 retry_after_s=RETRY_AFTER_S,
             ) from failure
-        self._parts.metrics.add("generation_retries_total")
-        self._parts.clock.sleep(decision.delay_s)
+        self._context.metrics.add("generation_retries_total")
+        self._context.clock.sleep(decision.delay_s)
 
     def _record_outcome(self, ran):
         # A refusal reports on all attempts together: its outcome is "not
@@ -141,13 +141,13 @@
     def _try_once(self):
         engine_request_id = f"{self._request.work.request_id}.{self._count}"
         try:
-            reserved = self._parts.reserver.reserve(
+            reserved = self._context.reserver.reserve(
                 self._request, engine_request_id
             )
         except RefusedError as exc:
             raise self._with_combined_outcome(exc) from exc
         transfer = PrefillTransfer(
-            parts=self._parts, request=self._request, reserved=reserved
+            context=self._context, request=self._request, reserved=reserved
         )
         try:
             result = transfer.run()
@@ -159,7 +159,7 @@
             reservation=reserved.decode,
             prompt_tokens=result.prompt_tokens,
             granted_tokens=reserved.output_tokens,
-            parts=self._parts,
+            context=self._context,
         )
         return self._receive_first_output(stream, result, reserved.started_s)
 
@@ -167,20 +167,20 @@
         work = self._request.work
         try:
             stream.receive_first()
-            now_s = self._parts.clock.monotonic_s()
+            now_s = self._context.clock.monotonic_s()
             if now_s > work.deadline_s:
                 raise late_answer()
-            if self._request.gone():
-                raise CallerGoneError("the caller disconnected")
+            if self._request.is_disconnected():
+                raise CallerDisconnectedError("the caller disconnected")
         except BaseException:
-            self._parts.metrics.add(
+            self._context.metrics.add(
                 "wasted_prefill_tokens_total", result.prompt_tokens
             )
             stream.close()
             raise
-        self._parts.decisions.record_first_output(work, now_s - started_s)
+        self._context.decisions.record_first_output(work, now_s - started_s)
         if self._count == 1:
-            self._parts.metrics.observe(
+            self._context.metrics.observe(
                 "first_output_seconds", now_s - work.arrived_s
             )
         return stream
@@ -208,8 +208,8 @@
                 prompt_tokens=stream.prompt_tokens,
                 output_tokens=stream.output_tokens,
             )
-        if request.gone():
-            raise CallerGoneError("the caller disconnected")
+        if request.is_disconnected():
+            raise CallerDisconnectedError("the caller disconnected")
     raise UpstreamRefusedError(
         "the output ended without a finish reason", ran=Ran.YES
     )
--- a/currantdeal/serving/silence.py
+++ b/currantdeal/serving/idle_timeouts.py
@@ -4,7 +4,7 @@
 dead connection.
 """
 
-SILENCE_FACTOR = 20.0
+IDLE_TIMEOUT_FACTOR = 20.0
 """Idle timeout as a multiple of the mean time between outputs.
 
 A prefill between decode steps, or a growing batch, makes a gap a few times
@@ -18,27 +18,27 @@
 _EWMA_WEIGHT = 0.2
 
 
-class SilenceLimits:
+class IdleTimeouts:
     """Idle timeouts per upstream, estimated from the streams that ended.
 
     Parameters
     ----------
-    longest_s : float
+    max_s : float
         Upper bound; also used for upstreams without observations.
     """
 
-    def __init__(self, *, longest_s):
+    def __init__(self, *, max_s):
         """Start without observations."""
-        self._longest_s = longest_s
+        self._max_s = max_s
         self._mean_gaps_s = {}
 
     def limit_s(self, upstream_id):
         """Return the idle timeout of a stream of an upstream, in seconds."""
         gap_s = self._mean_gaps_s.get(upstream_id)
         if gap_s is None:
-            return self._longest_s
-        adapted_s = max(MIN_LIMIT_S, gap_s * SILENCE_FACTOR)
-        return min(self._longest_s, adapted_s)
+            return self._max_s
+        adapted_s = max(MIN_LIMIT_S, gap_s * IDLE_TIMEOUT_FACTOR)
+        return min(self._max_s, adapted_s)
 
     def observe(self, upstream_id, gap_s):
         """Record the mean time between outputs of one stream."""
--- a/currantdeal/serving/prefill_transfer.py
+++ b/currantdeal/serving/prefill_transfer.py
@@ -8,14 +8,14 @@
     UpstreamRefusedError,
 )
 from currantdeal.ports import ImportRequest, PrefillRequest
+from currantdeal.serving.disconnects import WatchedCall
 from currantdeal.serving.errors import (
-    CallerGoneError,
+    CallerDisconnectedError,
     Reason,
     RefusedError,
     late_answer,
     not_run,
 )
-from currantdeal.serving.hangups import WatchedCall
 from currantdeal.serving.reservations import pieces_for
 
 TIMEOUT_FACTOR = 4.0
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    parts : ServingParts
+    context : ServingContext
         Shared dependencies.
     request : GenerationRequest
         The request.
@@ -39,9 +39,9 @@
         The reserved engines.
     """
 
-    def __init__(self, *, parts, request, reserved):
+    def __init__(self, *, context, request, reserved):
         """Start without a call to an engine."""
-        self._parts = parts
+        self._context = context
         self._request = request
         self._reserved = reserved
         self._prefill = reserved.prefill
@@ -64,17 +64,17 @@
 
     def _prefill_again(self, failure, attempts):
         work = self._request.work
-        decision = self._parts.decisions.decide_retry(
+        decision = self._context.decisions.decide_retry(
             work, ran=failure.ran, attempts=attempts
         ).get()
         if not decision.allowed:
             raise UpstreamRefusedError(str(failure), ran=Ran.YES) from failure
-        self._parts.metrics.add("prefill_retries_total")
+        self._context.metrics.add("prefill_retries_total")
         engine_request_id = (
             f"{self._reserved.decode.request_id}p{attempts + 1}"
         )
         try:
-            self._prefill = self._parts.reserver.reserve_prefill(
+            self._prefill = self._context.reserver.reserve_prefill(
                 work, self._reserved.choice, engine_request_id
             )
         except ReservationError as exc:
@@ -88,15 +88,15 @@
             self._prefilled = True
             self._run_import(result)
         except BaseException:
-            self._parts.cleaner.cancel(
+            self._context.cleaner.cancel(
                 prefill.upstream, prefill.request_id, prefill.grant
             )
             if self._prefilled:
-                self._parts.metrics.add(
+                self._context.metrics.add(
                     "wasted_prefill_tokens_total", result.prompt_tokens
                 )
             raise
-        self._parts.cleaner.release(prefill.grant)
+        self._context.cleaner.release(prefill.grant)
         return result
 
     def _run_prefill(self):
@@ -105,12 +105,12 @@
         self._sleep_until_start()
         predicted_s = self._reserved.choice.prefill_s
         timeout_s = self._check_sendable(Role.PREFILL, prefill, predicted_s)
-        started_s = self._parts.clock.monotonic_s()
-        recording = self._parts.recording_failures(
+        started_s = self._context.clock.monotonic_s()
+        recording = self._context.recording_failures(
             self._request, prefill.upstream
         )
         with self._watching(prefill), recording:
-            result = self._parts.engines.prefill(
+            result = self._context.engines.prefill(
                 prefill.upstream,
                 PrefillRequest(
                     request_id=prefill.request_id,
@@ -121,13 +121,13 @@
                 ),
                 timeout_s=timeout_s,
             )
-        taken_s = self._parts.clock.monotonic_s() - started_s
-        self._parts.metrics.add("prefill_tokens_total", result.prompt_tokens)
-        self._parts.decisions.record_prefill(
+        duration_s = self._context.clock.monotonic_s() - started_s
+        self._context.metrics.add("prefill_tokens_total", result.prompt_tokens)
+        self._context.decisions.record_prefill(
             prefill.upstream,
             work,
             cached_tokens=result.cached_tokens,
-            taken_s=taken_s,
+            duration_s=duration_s,
         )
         return result
 
@@ -144,11 +144,11 @@
             fence=decode.grant.fence,
         )
         self._importing = True
-        recording = self._parts.recording_failures(
+        recording = self._context.recording_failures(
             self._request, decode.upstream
         )
         with self._watching(decode), recording:
-            self._parts.engines.import_kv(
+            self._context.engines.import_kv(
                 decode.upstream, request, timeout_s=timeout_s
             )
 
@@ -162,23 +162,23 @@
             decode_in_s - reserved.choice.prefill_s,
         )
         if wait_s > 0:
-            self._parts.clock.sleep(wait_s)
+            self._context.clock.sleep(wait_s)
 
     def _check_sendable(self, role, reservation, predicted_s):
         """Return the timeout of a call, or raise if it may not be sent."""
         work = self._request.work
-        if self._request.gone():
-            raise CallerGoneError("the caller disconnected")
-        left_s = work.deadline_s - self._parts.clock.monotonic_s()
+        if self._request.is_disconnected():
+            raise CallerDisconnectedError("the caller disconnected")
+        left_s = work.deadline_s - self._context.clock.monotonic_s()
         if left_s <= 0:
             raise late_answer() if self._prefilled else _too_late_to_start()
         try:
-            self._parts.view.check_lease()
+            self._context.view.check_lease()
         except RefusedError as exc:
             if self._prefilled:
                 raise UpstreamRefusedError(str(exc), ran=Ran.YES) from exc
             raise
-        if not self._parts.view.may_serve(work, role, reservation.upstream):
+        if not self._context.view.may_serve(work, role, reservation.upstream):
             ran = Ran.YES if self._prefilled else Ran.NO
             raise UpstreamRefusedError(
                 f"{reservation.upstream.upstream_id} was withdrawn", ran=ran
@@ -186,7 +186,7 @@
         return min(left_s, TIMEOUT_FACTOR * predicted_s + TIMEOUT_MARGIN_S)
 
     def _watching(self, reservation):
-        return self._parts.hangups.watching(
+        return self._context.disconnects.watching(
             WatchedCall(
                 request=self._request,
                 upstream=reservation.upstream,
@@ -197,11 +197,11 @@
     def _free_decode(self):
         decode = self._reserved.decode
         if self._importing:
-            self._parts.cleaner.cancel(
+            self._context.cleaner.cancel(
                 decode.upstream, decode.request_id, decode.grant
             )
         else:
-            self._parts.cleaner.release(decode.grant)
+            self._context.cleaner.release(decode.grant)
 
 
 def _too_late_to_start():
--- a/currantdeal/serving/requests.py
+++ b/currantdeal/serving/requests.py
@@ -8,7 +8,7 @@
 from currantdeal.ports import ServiceAnswer, ServiceCall
 
 
-def never_gone():
+def never_disconnected():
     """Return False; for requests whose caller can't disconnect."""
     return False
 
@@ -23,13 +23,13 @@
         Description of the request for scheduling decisions.
     prompt : str
         The complete prompt.
-    gone : callable
+    is_disconnected : callable
         Returns True once the caller has disconnected.
     """
 
     work: Work
     prompt: str
-    gone: Callable[[], bool] = never_gone
+    is_disconnected: Callable[[], bool] = never_disconnected
 
     @cached_property
     def fingerprint(self):
@@ -61,14 +61,14 @@
         The HTTP call to send.
     key : str
         The caller's idempotency key; empty if there is none.
-    gone : callable
+    is_disconnected : callable
         Returns True once the caller has disconnected.
     """
 
     work: Work
     call: ServiceCall
     key: str = ""
-    gone: Callable[[], bool] = never_gone
+    is_disconnected: Callable[[], bool] = never_disconnected
 
     @cached_property
     def fingerprint(self):
--- a/currantdeal/serving/reservations.py
+++ b/currantdeal/serving/reservations.py
@@ -17,9 +17,9 @@
     Upstream,
     UpstreamId,
 )
-from currantdeal.policy import Ask, Choice, GiveUp, Plan, Refused
+from currantdeal.policy import Choice, GiveUp, LedgerRequest, Plan, Refused
 from currantdeal.ports import Grant, ReservationRequest
-from currantdeal.serving.errors import CallerGoneError, Reason, not_run
+from currantdeal.serving.errors import CallerDisconnectedError, Reason, not_run
 
 RESERVE_TIMEOUT_S = 0.5
 """Timeout of a request to a home; some dozen round trips."""
@@ -125,14 +125,16 @@
         """Return a new ``Reservation`` at the chosen prefill engine."""
         upstream = choice.prefill
         to_compute = work.prompt_tokens - int(choice.cached_tokens)
-        ask = Ask(
+        ledger_request = LedgerRequest(
             request_id=engine_request_id,
             caller=work.caller,
             entry=self._instance,
             prefill_tokens=max(1, to_compute),
             kv_bytes=work.prompt_tokens * upstream.kv_bytes_per_token,
         )
-        return self._reserve_upstream(upstream, ask, engine_request_id)
+        return self._reserve_upstream(
+            upstream, ledger_request, engine_request_id
+        )
 
     def _submit(self, work):
         self._view.check_lease()
@@ -147,8 +149,8 @@
         while True:
             if self._time_left_s(request) <= 0:
                 raise _no_memory_before_deadline(1.0)
-            if request.gone():
-                raise CallerGoneError("the caller disconnected")
+            if request.is_disconnected():
+                raise CallerDisconnectedError("the caller disconnected")
             try:
                 decision = ticket.decision.get(timeout=CALLER_CHECK_INTERVAL_S)
             except pykka.Timeout:
@@ -165,11 +167,11 @@
         self._view.check_lease()
         choice = plan.choice
         decode = self._reserve_upstream(
-            choice.decode, plan.decode_ask, engine_request_id
+            choice.decode, plan.decode_request, engine_request_id
         )
         try:
             prefill = self._reserve_upstream(
-                choice.prefill, plan.prefill_ask, f"{engine_request_id}p1"
+                choice.prefill, plan.prefill_request, f"{engine_request_id}p1"
             )
         except BaseException:
             self._cleaner.release(decode.grant)
@@ -182,17 +184,17 @@
             started_s=self._clock.monotonic_s(),
         )
 
-    def _reserve_upstream(self, upstream, ask, engine_request_id):
+    def _reserve_upstream(self, upstream, ledger_request, engine_request_id):
         request = ReservationRequest(
             request_id=engine_request_id,
-            caller=ask.caller,
-            entry=ask.entry,
+            caller=ledger_request.caller,
+            entry=ledger_request.entry,
             upstream_id=upstream.upstream_id,
-            pieces=ask.pieces,
-            prefill_tokens=ask.prefill_tokens,
-            kv_bytes=ask.kv_bytes,
-            hold_s=ask.hold_s,
-            lead_s=ask.lead_s,
+            pieces=ledger_request.pieces,
+            prefill_tokens=ledger_request.prefill_tokens,
+            kv_bytes=ledger_request.kv_bytes,
+            hold_s=ledger_request.hold_s,
+            lead_s=ledger_request.lead_s,
         )
         try:
             grant = self._homes.reserve(request, timeout_s=RESERVE_TIMEOUT_S)
--- a/currantdeal/serving/streams.py
+++ b/currantdeal/serving/streams.py
@@ -36,18 +36,18 @@
         Length of the prompt, as counted by the engine.
     granted_tokens : int
         Output tokens for which memory is reserved.
-    parts : ServingParts
+    context : ServingContext
         Shared dependencies.
     """
 
     def __init__(
-        self, *, request, reservation, prompt_tokens, granted_tokens, parts
+        self, *, request, reservation, prompt_tokens, granted_tokens, context
     ):
         """Start without a connection to the engine."""
         self._request = request
         self._reservation = reservation
         self._prompt_tokens = prompt_tokens
-        self._parts = parts
+        self._context = context
         self._next_offset = 0
         self._first_chunk = None
         self._finished = False
@@ -73,7 +73,7 @@
         Until then the caller can still be sent an error status.
         """
         self._first_chunk = next(self._chunks)
-        self._first_output_s = self._parts.clock.monotonic_s()
+        self._first_output_s = self._context.clock.monotonic_s()
 
     def __iter__(self):
         """Yield all chunks, including the first one already received."""
@@ -88,7 +88,7 @@
             return
         self._closed = True
         self._chunks.close()
-        self._parts.cleaner.cancel(
+        self._context.cleaner.cancel(
             self._reservation.upstream,
             self._reservation.request_id,
             self._reservation.grant,
@@ -96,22 +96,22 @@
         self._record_metrics()
 
     def _record_metrics(self):
-        parts = self._parts
+        context = self._context
         upstream = self._reservation.upstream
-        parts.metrics.add("output_tokens_total", self._next_offset)
+        context.metrics.add("output_tokens_total", self._next_offset)
         if not self._finished:
             return
-        parts.crashes.record_completion(self._request)
+        context.crashes.record_completion(self._request)
         gap_s = self._mean_gap_s()
-        parts.decisions.record_output(
+        context.decisions.record_output(
             self._request.work,
             upstream,
             tokens=self._next_offset,
-            between_s=gap_s,
+            output_gap_s=gap_s,
         )
         if gap_s > 0:
-            parts.silence.observe(upstream.upstream_id, gap_s)
-            parts.metrics.observe("output_gap_seconds", gap_s)
+            context.idle_timeouts.observe(upstream.upstream_id, gap_s)
+            context.metrics.observe("output_gap_seconds", gap_s)
 
     def _mean_gap_s(self):
         if self._next_offset < 2:
@@ -141,10 +141,10 @@
                 if not self._may_resume(resumes):
                     self._record_failure()
                     raise
-                self._parts.metrics.add("stream_resumes_total")
+                self._context.metrics.add("stream_resumes_total")
 
     def _record_crash(self):
-        self._parts.crashes.record_crash(
+        self._context.crashes.record_crash(
             self._request,
             self._reservation.upstream,
             early=not self._next_offset,
@@ -152,7 +152,7 @@
         self._record_failure()
 
     def _record_failure(self):
-        self._parts.decisions.record_failure(
+        self._context.decisions.record_failure(
             self._request.work, self._reservation.upstream
         )
 
@@ -165,7 +165,7 @@
                 if chunk.offset != expected:
                     raise _offset_error(chunk, expected)
                 self._finished = True
-                self._last_output_s = self._parts.clock.monotonic_s()
+                self._last_output_s = self._context.clock.monotonic_s()
                 yield chunk
                 return
             if chunk.offset < expected:
@@ -189,31 +189,31 @@
             priority=work.priority,
             fence=reservation.grant.fence,
         )
-        return self._parts.engines.decode(
+        return self._context.engines.decode(
             reservation.upstream, request, silence_s=self._silence_s()
         )
 
     def _silence_s(self):
         upstream_id = self._reservation.upstream.upstream_id
-        limit_s = self._parts.silence.limit_s(upstream_id)
+        limit_s = self._context.idle_timeouts.limit_s(upstream_id)
         if self._next_offset:
             return limit_s
         return max(MIN_SILENCE_S, min(limit_s, self._time_left_s()))
 
     def _may_resume(self, resumes):
-        if resumes > MAX_RESUMES or self._request.gone():
+        if resumes > MAX_RESUMES or self._request.is_disconnected():
             return False
         return self._next_offset > 0 or self._time_left_s() > 0
 
     def _time_left_s(self):
-        now_s = self._parts.clock.monotonic_s()
+        now_s = self._context.clock.monotonic_s()
         return self._request.work.deadline_s - now_s
 
     def _grow_grant(self):
         upstream = self._reservation.upstream
         self._granted_tokens += upstream.tokens_per_piece
-        if not self._parts.homes.grow(self._reservation.grant, pieces=1):
-            self._parts.metrics.add("grants_not_grown_total")
+        if not self._context.homes.grow(self._reservation.grant, pieces=1):
+            self._context.metrics.add("grants_not_grown_total")
 
 
 def _offset_error(chunk, expected):
--- a/currantdeal/serving/tests/builders.py
+++ b/currantdeal/serving/tests/builders.py
@@ -20,7 +20,7 @@
 from currantdeal.serving.requests import (
     CallRequest,
     GenerationRequest,
-    never_gone,
+    never_disconnected,
 )
 from currantdeal.state import (
     AnnounceUpstream,
@@ -168,7 +168,9 @@
         )
 
 
-def generation(world, *, gone=never_gone, deadline_in_s=5.0, tokens=3):
+def generation(
+    world, *, is_disconnected=never_disconnected, deadline_in_s=5.0, tokens=3
+):
     """Return a request to the model for a short output."""
     now_s = world.clock.monotonic_s()
     return GenerationRequest(
@@ -184,7 +186,7 @@
             deadline_s=now_s + deadline_in_s,
         ),
         prompt="cake",
-        gone=gone,
+        is_disconnected=is_disconnected,
     )
 
 
--- a/currantdeal/serving/tests/test_generation.py
+++ b/currantdeal/serving/tests/test_generation.py
@@ -12,7 +12,11 @@
     UpstreamUnreachableError,
 )
 from currantdeal.ports import OutputChunk
-from currantdeal.serving.errors import CallerGoneError, Reason, RefusedError
+from currantdeal.serving.errors import (
+    CallerDisconnectedError,
+    Reason,
+    RefusedError,
+)
 from currantdeal.serving.tests.builders import (
     build_world,
     engine,
@@ -276,20 +280,20 @@
         raise UpstreamRefusedError("cancelled", ran=Ran.YES)
 
     world.engines.on_prefill = [wait]
-    request = generation(world, gone=lambda: bool(disconnected))
+    request = generation(world, is_disconnected=lambda: bool(disconnected))
     raised = []
 
     def serve():
         try:
             world.serving.generation.open(request)
-        except CallerGoneError as exc:
+        except CallerDisconnectedError as exc:
             raised.append(exc)
 
     thread = threading.Thread(target=serve)
     thread.start()
     assert blocked.wait(30)
     disconnected.append(True)
-    world.serving.hangups.check_callers()
+    world.serving.disconnects.check_callers()
     world.wait_for_cleanup()
     assert len(world.engines.cancelled) == 1
     ended.set()
--- a/currantdeal/testing/entry_world.py
+++ b/currantdeal/testing/entry_world.py
@@ -29,7 +29,12 @@
 
 
 def config_body(
-    *, version=1, timeout_ms=2_000, target_ms=300, limits=None, handle_s=0.5
+    *,
+    version=1,
+    timeout_ms=2_000,
+    target_ms=300,
+    limits=None,
+    kv_handle_ttl_s=0.5,
 ):
     """Return the bytes of a configuration with one route of each kind."""
     times = {"TimeoutMs": timeout_ms, "TargetLatencyMs": target_ms}
@@ -57,7 +62,7 @@
                         "HoldMs": 2_000.0,
                         "Stride": 10,
                         "SwitchS": 6.0,
-                        "HandleTtlS": handle_s,
+                        "HandleTtlS": kv_handle_ttl_s,
                     },
                 },
             ],
@@ -118,7 +123,7 @@
             sequence=self._sequence,
             stage=stage,
         )
-        self.context.view.take_upstreams((record,), complete=False)
+        self.context.view.merge_upstreams((record,), complete=False)
 
     def know_engines(self, prefill, *decode):
         """Announce a prefill engine and decode engines."""
@@ -193,7 +198,7 @@
         clock=loop.time,
     )
     if config != b"":
-        view.take_config(1, zlib.compress(config or config_body()))
+        view.apply_config(1, zlib.compress(config or config_body()))
     context = EntryContext(
         view=view,
         pool=ConnectionPool(),
--- a/currantdeal/testing/local_ports.py
+++ b/currantdeal/testing/local_ports.py
@@ -7,7 +7,12 @@
 import threading
 
 from currantdeal.core import FencingNumber, GrantId, ReservationError
-from currantdeal.policy import Ask, Ledger, LedgerLimits, LedgerRefusal
+from currantdeal.policy import (
+    Ledger,
+    LedgerLimits,
+    LedgerRefusal,
+    LedgerRequest,
+)
 from currantdeal.ports import Grant, InstanceProgress
 from currantdeal.state import ClusterState, apply_command
 
@@ -87,13 +92,13 @@
         """Ids of the requests that hold a grant, by upstream."""
         with self._lock:
             return {
-                name: {grant.ask.request_id for grant in ledger.grants}
+                name: {grant.request.request_id for grant in ledger.grants}
                 for name, ledger in self._ledgers.items()
             }
 
     def reserve(self, request, *, timeout_s):
         """Return a grant, or raise ``ReservationError``."""
-        ask = Ask(
+        ledger_request = LedgerRequest(
             request_id=request.request_id,
             caller=request.caller,
             entry=request.entry,
@@ -105,7 +110,9 @@
         )
         with self._lock:
             ledger = self._ledger(request.upstream_id)
-            reservation = ledger.reserve(ask, now_s=self._clock.monotonic_s())
+            reservation = ledger.reserve(
+                ledger_request, now_s=self._clock.monotonic_s()
+            )
         if isinstance(reservation, LedgerRefusal):
             raise ReservationError(
                 "full", retry_after_s=reservation.retry_after_s
