--- a/benchmarks/experiments/partition.py
+++ b/benchmarks/experiments/partition.py
@@ -19,7 +19,7 @@
         world.cluster.isolate(name)
         cut_off = world.cluster.instance(name)
         failure_run.record_time(
-            "no lease at the one cut off", lambda: not cut_off.ready()
+            "no lease at the one cut off", lambda: not cut_off.is_ready()
         )
         failure_run.record_time(
             "another leader", lambda: world.leader() != name
@@ -30,7 +30,7 @@
         )
         failure_run.begin()
         world.cluster.heal()
-        failure_run.record_time("after healing: ready", cut_off.ready)
+        failure_run.record_time("after healing: ready", cut_off.is_ready)
         failure_run.record_time(
             "after healing: alive to all",
             lambda: failure_run.reported_statuses(name) == {"alive"},
--- a/benchmarks/experiments/silent_connections.py
+++ b/benchmarks/experiments/silent_connections.py
@@ -14,7 +14,7 @@
     failure_run = FailureRun(seed=seed, proxied=True)
     try:
         failure_run.begin()
-        failure_run.world.cluster.silence_open()
+        failure_run.world.cluster.stall_open_connections()
         failure_run.record_time("a leader is known", failure_run.world.leader)
         failure_run.record_time(
             "answers again", lambda: _serve(failure_run.world)
@@ -25,5 +25,5 @@
 
 
 def _serve(world):
-    world.await_served(SERVED_AFTER)
+    world.wait_served(SERVED_AFTER)
     return True
--- a/benchmarks/experiments/withdrawal.py
+++ b/benchmarks/experiments/withdrawal.py
@@ -20,7 +20,7 @@
         failure_run.begin()
         accepted_s = world.set_withdrawn(ENGINE, True, at=world.any_instance())
         failure_run.record_time("accepted", lambda: accepted_s)
-        world.await_served(20)
+        world.wait_served(20)
         report = failure_run.end("withdrawal")
         report.times_s["last work after acceptance"] = failure_run.last_work_s(
             ENGINE, accepted_s
--- a/benchmarks/failure_runs.py
+++ b/benchmarks/failure_runs.py
@@ -64,8 +64,8 @@
         self.times_s = {}
         self.world = World(folder=pathlib.Path(tempfile.mkdtemp()))
         self.world.start(INSTANCES, **options)
-        self.world.send_load(seed=seed)
-        self.world.await_served(STEADY)
+        self.world.start_load(seed=seed)
+        self.world.wait_served(STEADY)
 
     def begin(self):
         """Set the present as the origin of the following times."""
@@ -78,14 +78,14 @@
 
     def end(self, name):
         """Serve some more requests, stop the callers and return the report."""
-        self.world.await_served(STEADY)
-        broken = self.world.judge()
+        self.world.wait_served(STEADY)
+        broken = self.world.find_violations()
         sent = self.world.load.sent
         self.times_s["longest gap between whole streams"] = _gap_s(
             sent, self._began_s
         )
         stopped_s = time.time()
-        self.world.await_nothing_held()
+        self.world.wait_nothing_held()
         self.times_s["memory free after the last caller"] = round(
             time.time() - stopped_s, 3
         )
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -29,11 +29,11 @@
 from currantdeal.testing.traffic import Received
 from currantdeal.testing.verdicts import (
     Violation,
-    judge_answers,
-    judge_cuts,
-    judge_orders,
-    judge_refused_orders,
-    judge_withdrawal,
+    find_interrupted_requests,
+    find_order_violations,
+    find_refused_orders_that_ran,
+    find_work_after_withdrawal,
+    find_wrong_answers,
 )
 from currantdeal.testing.waiting import wait_until
 from currantdeal.testing.world import World
@@ -164,7 +164,7 @@
 
 
 def _run_round(world, rng, record, sent, number):
-    world.send_load(
+    world.start_load(
         streams=8, orders=4, browsers=2, seed=rng.randrange(1_000_000)
     )
     faults = FaultInjector(world=world, rng=rng, record=record)
@@ -200,7 +200,7 @@
     record.check("the system recovers")
     try:
         world.cluster.wait_ready(limit_s=RECOVERY_LIMIT_S)
-        world.await_served(10)
+        world.wait_served(10)
     except HarnessError as exc:
         record.record_violation("the system recovers", f"after {names}: {exc}")
 
@@ -231,9 +231,9 @@
     record.check("an answered order ran", orders)
     refused = sum(request.received is Received.NOT_RUN for request in sent)
     record.check('"not run" is true', refused)
-    record.violations += judge_answers(sent)
-    record.violations += judge_orders(sent, runs)
-    record.violations += judge_refused_orders(sent, runs)
+    record.violations += find_wrong_answers(sent)
+    record.violations += find_order_violations(sent, runs)
+    record.violations += find_refused_orders_that_ran(sent, runs)
     for engine, began_s, ended_s in record.withdrawals:
         record.check("no work after a withdrawal")
         client = world.cluster.stand_in(engine).client
@@ -242,7 +242,9 @@
             for event in (*record.journals.get(engine, ()), *client.events())
             if event.wall_s < ended_s
         ]
-        record.violations += judge_withdrawal(events, withdrawn_s=began_s)
+        record.violations += find_work_after_withdrawal(
+            events, withdrawn_s=began_s
+        )
 
 
 @click.group()
@@ -310,7 +312,7 @@
         "minutes": minutes,
         "faults": dict(record.faults),
         "received": dict(received),
-        "cut off at instances": len(judge_cuts(sent)),
+        "cut off at instances": len(find_interrupted_requests(sent)),
         "promises": {
             name: {"checked": record.checked[name], "violated": violated[name]}
             for name in PROMISES
--- a/benchmarks/soak_callers.py
+++ b/benchmarks/soak_callers.py
@@ -11,7 +11,7 @@
 import h11
 
 from currantdeal.testing.entry_world import GENERATION
-from currantdeal.testing.platform_upstream import EVENTS, pieces
+from currantdeal.testing.platform_upstream import EVENTS, event_numbers
 
 DEADLINE_S = 3.0
 """Deadline that callers send with each request."""
@@ -239,11 +239,11 @@
                 )
             ]
         return []
-    if pieces(attempt.body) != list(range(1, EVENTS + 1)):
+    if event_numbers(attempt.body) != list(range(1, EVENTS + 1)):
         return [
             (
                 "events whole and in order",
-                f"{attempt.request_id}: {pieces(attempt.body)}",
+                f"{attempt.request_id}: {event_numbers(attempt.body)}",
             )
         ]
     return []
--- a/benchmarks/soak_crashes.py
+++ b/benchmarks/soak_crashes.py
@@ -131,7 +131,7 @@
 def _upstream(name, service, stage=""):
     standin = CrashingUpstream(
         upstream=name,
-        crashes_under=lambda request: request.body.startswith(POISON),
+        crashes_on=lambda request: request.body.startswith(POISON),
         down_s=DOWN_S,
     )
     return SoakUpstream(
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -232,7 +232,9 @@
         source, target = self._pick_instance(), self._pick_instance()
         if source is None or source is target:
             return None
-        self._cluster.peer_proxy(source.name, target.name).silence_open()
+        self._cluster.peer_proxy(
+            source.name, target.name
+        ).stall_open_connections()
         return self._make_fault(
             f"silence {source.name} to {target.name}",
             lambda: None,
@@ -243,7 +245,7 @@
         instance = self._pick_instance()
         if instance is None:
             return None
-        self._cluster.caller_proxy(instance.name).silence_open()
+        self._cluster.caller_proxy(instance.name).stall_open_connections()
         return self._make_fault(
             f"silence callers of {instance.name}",
             lambda: None,
@@ -253,7 +255,7 @@
 
     def _silence_upstream(self):
         name = self._rng.choice(sorted(self._cluster.stand_ins))
-        self._cluster.stand_in(name).proxy.silence_open()
+        self._cluster.stand_in(name).proxy.stall_open_connections()
         return self._make_fault(
             f"silence {name}", lambda: None, place=f"silence {name}"
         )
--- a/benchmarks/soak_node_faults.py
+++ b/benchmarks/soak_node_faults.py
@@ -196,9 +196,9 @@
             ("delay", "cut", "cut-one-way", "refuse", "silence", "reset")
         )
         if kind == "silence":
-            proxy.silence_open()
+            proxy.stall_open_connections()
         elif kind == "reset":
-            proxy.reset_open()
+            proxy.reset_open_connections()
         else:
             proxy.set_faults(self._link_faults(kind))
             self._undo_later(lambda: proxy.set_faults(LinkFaults()))
--- a/benchmarks/soak_nodes.py
+++ b/benchmarks/soak_nodes.py
@@ -339,9 +339,9 @@
         if not await self._is_drain_acknowledged(upstream):
             return
         await asyncio.sleep(DRAIN_S)
-        before = len(upstream.standin.seen)
+        before = len(upstream.standin.requests)
         await asyncio.sleep(1.0)
-        late = upstream.standin.seen[before:]
+        late = upstream.standin.requests[before:]
         self.check("no work after a drain", not late, f"{len(late)} requests")
         upstream.born += 1
         upstream.state = "ready"
--- a/benchmarks/soak_resets.py
+++ b/benchmarks/soak_resets.py
@@ -28,7 +28,7 @@
 
     async def _reset_repeatedly(self):
         for _ in range(RESETS):
-            self._rng.choice(self._proxies()).reset_open()
+            self._rng.choice(self._proxies()).reset_open_connections()
             await asyncio.sleep(self._rng.uniform(0.0, LONGEST_GAP_S))
 
     def _proxies(self):
--- a/currantdeal/adapters/connections.py
+++ b/currantdeal/adapters/connections.py
@@ -27,7 +27,7 @@
 from currantdeal.core import (
     Ran,
     UpstreamCrashedError,
-    UpstreamSilentError,
+    UpstreamTimeoutError,
     UpstreamUnreachableError,
 )
 
@@ -123,7 +123,7 @@
             If no connection could be opened; the request was not run.
         UpstreamCrashedError
             If the connection broke and the upstream's process has ended.
-        UpstreamSilentError
+        UpstreamTimeoutError
             If the connection broke or timed out; the request may have run.
         """
         pool = self._fresh(request) if fresh else self._pooled(request)
@@ -194,7 +194,7 @@
     crashed = not isinstance(
         failure, ReadTimeoutError
     ) and _refuses_connections(address)
-    error = UpstreamCrashedError if crashed else UpstreamSilentError
+    error = UpstreamCrashedError if crashed else UpstreamTimeoutError
     return error(str(failure), ran=Ran.MAYBE)
 
 
--- a/currantdeal/adapters/disk/backup.py
+++ b/currantdeal/adapters/disk/backup.py
@@ -15,7 +15,7 @@
 from currantdeal.adapters.disk.replay import read_folder
 from currantdeal.adapters.replication.entries import (
     apply_update,
-    state_of,
+    state_from_snapshot,
     update_from_entry,
 )
 from currantdeal.consensus import (
@@ -60,7 +60,7 @@
     if content is None or content.stored.snapshot is None:
         raise DiskError(f"{folder} contains no state of a replica")
     stored = content.stored
-    state = state_of(stored.snapshot.data)
+    state = state_from_snapshot(stored.snapshot.data)
     for entry in stored.entries:
         state, _ = apply_update(state, update_from_entry(entry))
     snapshot = Snapshot(
--- a/currantdeal/adapters/homes.py
+++ b/currantdeal/adapters/homes.py
@@ -18,10 +18,10 @@
 from currantdeal.adapters.homes_work import HomeWork
 from currantdeal.core import ReservationError
 from currantdeal.membership import (
-    BookLimits,
-    GrantBook,
     GrowCall,
+    HeldReservations,
     HomeRefusal,
+    HomeTimeouts,
     ReserveCall,
     choose_home,
     first_incarnation,
@@ -50,7 +50,7 @@
         Incarnation number of this process.
     state, members, clock
         The ports of those names.
-    book : GrantBook
+    reservations : HeldReservations
         Grants that this instance holds as an entry.
     calls : HomeCalls
         Client for calls to homes.
@@ -72,7 +72,7 @@
         state,
         members,
         clock,
-        book,
+        reservations,
         calls,
         links,
         server,
@@ -85,7 +85,7 @@
         self._state = state
         self._members = members
         self._clock = clock
-        self._book = book
+        self._reservations = reservations
         self._calls = calls
         self._links = links
         self._server = server
@@ -149,13 +149,13 @@
 
         The home reclaims the memory if the release is lost.
         """
-        held = self._book.end(grant.upstream_id, grant.request_id)
+        held = self._reservations.remove(grant.upstream_id, grant.request_id)
         home = held.home if held else grant.home
         self._links.release(home, grant.upstream_id, grant.request_id)
 
     def grow(self, grant, *, pieces):
         """Return whether the grant was enlarged by ``pieces``."""
-        held = self._book.get(grant.upstream_id, grant.request_id)
+        held = self._reservations.get(grant.upstream_id, grant.request_id)
         if held is None:
             return False
         call = GrowCall(
@@ -168,12 +168,12 @@
         except PeerError:
             return False
         if grown:
-            self._book.grown(grant, pieces=pieces)
+            self._reservations.record_growth(grant, pieces=pieces)
         return grown
 
     def refresh(self, grant):
         """Return the grant as held at the present home, None if lost."""
-        held = self._book.get(grant.upstream_id, grant.request_id)
+        held = self._reservations.get(grant.upstream_id, grant.request_id)
         return held.grant if held else None
 
     def load(self, upstream_id):
@@ -190,7 +190,9 @@
             return HomeRefusal(
                 message="the upstream has no home yet", moving=True
             )
-        self._book.ask(request, home=home.instance, fence=home.fence)
+        self._reservations.record_request(
+            request, home=home.instance, fence=home.fence
+        )
         left_s = max(MOVING_RETRY_S, end_s - self._clock.monotonic_s())
         call = ReserveCall(process=self._process, request=request)
         try:
@@ -203,17 +205,17 @@
                 message=f"the home did not answer: {exc}", moving=True
             )
         if isinstance(answer, HomeRefusal):
-            self._book.end(request.upstream_id, request.request_id)
+            self._reservations.remove(request.upstream_id, request.request_id)
             return answer
         return self._record_grant(answer)
 
     def _record_grant(self, grant):
-        self._book.granted(grant)
-        held = self._book.get(grant.upstream_id, grant.request_id)
+        self._reservations.record_grant(grant)
+        held = self._reservations.get(grant.upstream_id, grant.request_id)
         return held.grant if held and held.grant else grant
 
     def _abandon(self, request, home, *, sent):
-        self._book.end(request.upstream_id, request.request_id)
+        self._reservations.remove(request.upstream_id, request.request_id)
         if sent:
             # The home may have granted the request.  Without a release the
             # memory would stay reserved until the digests are compared.
@@ -267,11 +269,11 @@
     """
     common = {"instance": settings.instance, "clock": clock, "state": state}
     process = first_incarnation(clock.wall_s())
-    book = GrantBook()
+    reservations = HeldReservations()
     server = HomesServer(
         instance=settings.instance,
         process=process,
-        book=book,
+        reservations=reservations,
         pass_on=lambda report: links.report(report, passed_on=True),
     )
     calls = HomeCalls(
@@ -283,7 +285,7 @@
     links = HomeLinks(
         **common,
         process=process,
-        book=book,
+        reservations=reservations,
         calls=calls,
         members=members,
         heartbeat_s=settings.timing.renew_s,
@@ -301,7 +303,7 @@
         **common,
         process=process,
         members=members,
-        book=book,
+        reservations=reservations,
         calls=calls,
         links=links,
         server=server,
@@ -312,7 +314,7 @@
             members=members,
             work=work,
             output_gap_s=settings.timing.output_gap_s,
-            limits=_build_limits(settings.timing),
+            timeouts=_build_timeouts(settings.timing),
         ),
     )
 
@@ -324,8 +326,8 @@
     return members.peer_address(name) or replicas.get(name, "")
 
 
-def _build_limits(timing):
-    return BookLimits(
-        entry_silence_s=timing.lease_s,
-        upstream_silence_s=timing.upstream_silence_s,
+def _build_timeouts(timing):
+    return HomeTimeouts(
+        entry_timeout_s=timing.lease_s,
+        upstream_timeout_s=timing.upstream_silence_s,
     )
--- a/currantdeal/adapters/homes_actor.py
+++ b/currantdeal/adapters/homes_actor.py
@@ -25,14 +25,14 @@
 from currantdeal.core import UpstreamKind
 from currantdeal.membership import (
     GrowCall,
-    HomeBook,
     HomePlanner,
     HomeRefusal,
+    HomeRegistry,
     PassedReports,
     Phase,
-    Presence,
+    PlanContext,
+    PresenceTracker,
     ReserveCall,
-    Surroundings,
     Sync,
 )
 
@@ -74,7 +74,7 @@
         Source of time.
     output_gap_s : float
         Longest time between outputs that decoding should keep, in seconds.
-    limits : BookLimits
+    timeouts : HomeTimeouts
         Silence timeouts of entries and upstreams.
     """
 
@@ -89,7 +89,7 @@
         work,
         clock,
         output_gap_s,
-        limits,
+        timeouts,
     ):
         """Start without homes."""
         super().__init__()
@@ -99,13 +99,13 @@
         self._members = members
         self._work = work
         self._clock = clock
-        self._book = HomeBook(
+        self._home_registry = HomeRegistry(
             instance=instance,
             output_gap_s=output_gap_s,
-            limits=limits,
+            timeouts=timeouts,
             now_s=now_s,
         )
-        self._presence = Presence(
+        self._presence = PresenceTracker(
             settle_s=SETTLE_S,
             absence_s=ABSENCE_S,
             unseen_s=UNSEEN_S,
@@ -143,7 +143,7 @@
         refusal = self._refusal(message.request.upstream_id)
         if refusal is not None:
             return refusal
-        answer, cancels = self._book.reserve(message, now_s)
+        answer, cancels = self._home_registry.reserve(message, now_s)
         self._cancel_all(cancels)
         return answer
 
@@ -151,20 +151,20 @@
     def _(self, message: GrowCall, now_s):
         if self._refusal(message.upstream_id) is not None:
             return False
-        grown, cancels = self._book.grow(message)
+        grown, cancels = self._home_registry.grow(message)
         self._cancel_all(cancels)
         return grown
 
     @_handle.register
     def _(self, message: Sync, now_s):
-        answer, cancels = self._book.sync(message, now_s)
+        answer, cancels = self._home_registry.sync(message, now_s)
         self._cancel_all(cancels)
         return answer
 
     @_handle.register
     def _(self, message: PassedReports, now_s):
         for report in message.reports:
-            self._book.hear(report, now_s)
+            self._home_registry.record_report(report, now_s)
 
     @_handle.register
     def _(self, message: HandOver, now_s):
@@ -174,16 +174,18 @@
     @_handle.register
     def _(self, message: Tick, now_s):
         has_lease = self._state.lease_remaining_s() > 0
-        self._book.excuse_if_paused(now_s, listening=has_lease)
-        self._book.follow(self._state.view(), now_s)
+        self._home_registry.reset_timeouts_if_paused(
+            now_s, has_lease=has_lease
+        )
+        self._home_registry.apply_state(self._state.view(), now_s)
         self._presence.observe(self._members.members(), now_s)
         if not has_lease:
             return
         self._plan(now_s)
-        self._cancel_all(self._book.silent_entries(now_s))
+        self._cancel_all(self._home_registry.expire_entries(now_s))
         self._retire_silent(now_s)
         self._check_engines(now_s)
-        self._orders.start_due(self._state.view(), self._book, now_s)
+        self._orders.start_due(self._state.view(), self._home_registry, now_s)
 
     @_handle.register
     def _(self, message: MoveEnded, now_s):
@@ -192,7 +194,9 @@
         record = self._state.view().upstreams.get(name)
         if message.fence is None or record is None:
             return
-        home = self._book.take(record.upstream, message.fence, now_s)
+        home = self._home_registry.add_home(
+            record.upstream, message.fence, now_s
+        )
         _log.info("home taken", upstream=name, fence=message.fence)
         if message.move.former:
             self._work.await_former_home(
@@ -203,24 +207,24 @@
 
     @_handle.register
     def _(self, message: FormerHomeStopped, now_s):
-        home = self._book.get(message.upstream_id, message.fence)
+        home = self._home_registry.get(message.upstream_id, message.fence)
         if home is not None:
             self._reconcile(home)
 
     @_handle.register
     def _(self, message: ClaimsCollected, now_s):
-        home = self._book.get(message.upstream_id, message.fence)
+        home = self._home_registry.get(message.upstream_id, message.fence)
         if home is None:
             return
         for answer in message.answers:
-            self._book.adopt(message.upstream_id, answer, now_s)
+            self._home_registry.adopt(message.upstream_id, answer, now_s)
         self._cancel_orphans(home, message.held)
-        home.advance(Phase.OPEN)
+        home.set_phase(Phase.OPEN)
 
     @_handle.register
     def _(self, message: HeldReported, now_s):
         self._check_due_s[message.upstream_id] = now_s + HELD_CHECK_INTERVAL_S
-        home = self._book.get(message.upstream_id, message.fence)
+        home = self._home_registry.get(message.upstream_id, message.fence)
         if home is not None and home.phase is Phase.OPEN:
             self._cancel_orphans(home, message.held)
 
@@ -230,7 +234,7 @@
 
     @_handle.register
     def _(self, message: OrderEnded, now_s):
-        self._orders.ended(message, self._book, now_s)
+        self._orders.ended(message, self._home_registry, now_s)
 
     @_handle.register
     def _(self, message: RetireEnded, now_s):
@@ -246,16 +250,16 @@
         if record is None or not record.present or record.withdrawn:
             return HomeRefusal(message="the upstream is withdrawn")
         agreed = view.homes.get(upstream_id)
-        home = self._book.get(upstream_id)
+        home = self._home_registry.get(upstream_id)
         if home is None or agreed is None or agreed.fence != home.fence:
             return HomeRefusal(message="not the home", moving=True)
         return None
 
     def _reconcile(self, home):
         if home.upstream.kind is not UpstreamKind.ENGINE:
-            home.advance(Phase.OPEN)
+            home.set_phase(Phase.OPEN)
             return
-        home.advance(Phase.RECONCILING)
+        home.set_phase(Phase.RECONCILING)
         self._work.collect_claims(home)
 
     def _plan(self, now_s):
@@ -263,8 +267,8 @@
         draining = set(state.draining)
         if self._leaving:
             draining.add(self._instance)
-        surroundings = Surroundings(
-            me=self._instance,
+        context = PlanContext(
+            local_id=self._instance,
             members=self._members.members(),
             draining=frozenset(draining),
             settled=self._presence.settled(now_s),
@@ -272,28 +276,30 @@
                 {home.instance for home in state.homes.values()}, now_s
             ),
         )
-        for move in self._planner.plan(state, self._book.fences, surroundings):
+        for move in self._planner.plan(
+            state, self._home_registry.fences, context
+        ):
             if move.upstream_id not in self._moving:
                 self._moving.add(move.upstream_id)
                 self._start_move(move)
 
     def _start_move(self, move):
-        home = self._book.get(move.upstream_id)
+        home = self._home_registry.get(move.upstream_id)
         if home is not None:
             # From here on nothing may be granted, since the next home would
             # not learn of the grant.
-            home.advance(Phase.GIVEN)
+            home.set_phase(Phase.HANDED_OVER)
         self._work.move(move)
 
     def _retire_silent(self, now_s):
-        for silent in self._book.silent_upstreams(now_s):
+        for silent in self._home_registry.unresponsive_upstreams(now_s):
             record = self._state.view().upstreams[silent.upstream_id]
             if record.present and silent.upstream_id not in self._retiring:
                 self._retiring.add(silent.upstream_id)
                 self._work.retire(silent)
 
     def _check_engines(self, now_s):
-        for home in self._book.homes(Phase.OPEN):
+        for home in self._home_registry.homes(Phase.OPEN):
             name = home.upstream.upstream_id
             if (
                 home.upstream.kind is UpstreamKind.ENGINE
@@ -321,6 +327,6 @@
         for cancel in cancels:
             by_upstream[cancel.upstream_id].append(cancel.request_id)
         for name, request_ids in by_upstream.items():
-            home = self._book.get(name)
+            home = self._home_registry.get(name)
             if home is not None:
                 self._work.cancel(home.upstream, tuple(request_ids))
--- a/currantdeal/adapters/homes_calls.py
+++ b/currantdeal/adapters/homes_calls.py
@@ -74,13 +74,13 @@
         raw = HOME_CODEC.encode(reports)
         self._call(instance, lambda to: to.pass_on(raw), timeout_s)
 
-    def _call(self, instance, send, timeout_s):
+    def _call(self, instance, rpc, timeout_s):
         address = self._address_of(instance)
         if not address:
             raise PeerError(f"{instance}: peer address unknown", sent=False)
         try:
             return self._pool.call(
-                address, SERVICE, Homes.Client, send, timeout_s=timeout_s
+                address, SERVICE, Homes.Client, rpc, timeout_s=timeout_s
             )
         except HomeRefused:
             raise
--- a/currantdeal/adapters/homes_links.py
+++ b/currantdeal/adapters/homes_links.py
@@ -57,7 +57,7 @@
         This instance.
     process : int
         Incarnation number of this process.
-    book : GrantBook
+    reservations : HeldReservations
         Grants that this instance holds.
     calls : HomeCalls
         Client for calls to other instances.
@@ -79,7 +79,7 @@
         *,
         instance,
         process,
-        book,
+        reservations,
         calls,
         members,
         state,
@@ -90,7 +90,7 @@
         """Start with no links."""
         self._instance = instance
         self._process = process
-        self._book = book
+        self._reservations = reservations
         self._calls = calls
         self._members = members
         self._state = state
@@ -204,7 +204,7 @@
         return now_s >= link.sent_s + interval_s
 
     def _target_homes(self):
-        holding = self._holding_homes = self._book.homes()
+        holding = self._holding_homes = self._reservations.homes()
         with self._lock:
             waiting = {
                 home
@@ -263,7 +263,7 @@
             for report in decode_loads(answer.loads)
         )
         for key in answer.lost:
-            self._book.end(key.upstream_id, key.request_id)
+            self._reservations.remove(key.upstream_id, key.request_id)
 
     def _drain_reports(self, link):
         with self._lock:
@@ -274,7 +274,7 @@
         with self._lock:
             released, link.released = tuple(link.released), []
         link.sent_s = self._clock.monotonic_s()
-        held = self._book.of_home(home)
+        held = self._reservations.of_home(home)
         keys = [(h.request.upstream_id, h.request.request_id) for h in held]
         return Sync(
             entry=self._instance,
--- a/currantdeal/adapters/homes_messages.py
+++ b/currantdeal/adapters/homes_messages.py
@@ -5,8 +5,8 @@
 from currantdeal.core import FencingNumber, UpstreamId
 from currantdeal.membership import (
     ClaimsAnswer,
-    GiveHome,
-    TakeHome,
+    HandOverHome,
+    TakeOverHome,
 )
 from currantdeal.ports import HeldMemory
 from currantdeal.state import OrderStatus
@@ -34,7 +34,7 @@
         Version of the state in which this instance became home.
     """
 
-    move: TakeHome | GiveHome
+    move: TakeOverHome | HandOverHome
     fence: FencingNumber | None = None
     version: int = 0
 
--- a/currantdeal/adapters/homes_orders.py
+++ b/currantdeal/adapters/homes_orders.py
@@ -28,7 +28,7 @@
         self._first_seen_s = {}
         self._unrecorded = {}
 
-    def start_due(self, state, book, now_s):
+    def start_due(self, state, home_registry, now_s):
         """Start the orders that can run, in order of issue for each engine."""
         started = set()
         for number in sorted(state.orders):
@@ -36,14 +36,14 @@
             if record.status is not OrderStatus.PENDING:
                 self._forget(number)
                 continue
-            home = book.get(record.upstream_id)
+            home = home_registry.get(record.upstream_id)
             if home is None or home.phase is not Phase.OPEN:
                 continue
             if record.upstream_id not in started:
                 started.add(record.upstream_id)
                 self._start_one(home, record, now_s)
 
-    def ended(self, message, book, now_s):
+    def ended(self, message, home_registry, now_s):
         """Process the result of an order."""
         number = message.order_id
         self._running.discard(number)
@@ -51,7 +51,7 @@
         if message.status is None:
             return
         if message.recorded:
-            self._reopen(book, message.upstream_id)
+            self._reopen(home_registry, message.upstream_id)
         else:
             self._unrecorded[number] = message
 
@@ -65,16 +65,16 @@
             self._work.record_order(self._unrecorded[number])
             return
         if record.order.kind in NEEDS_IDLE:
-            home.close(True)
+            home.pause_reservations(True)
             if not home.idle and now_s < first_seen_s + IDLE_WAIT_S:
                 return
         self._running.add(number)
         self._work.execute_order(home, record)
 
-    def _reopen(self, book, upstream_id):
-        home = book.get(upstream_id)
+    def _reopen(self, home_registry, upstream_id):
+        home = home_registry.get(upstream_id)
         if home is not None:
-            home.close(False)
+            home.pause_reservations(False)
 
     def _forget(self, number):
         self._first_seen_s.pop(number, None)
--- a/currantdeal/adapters/homes_server.py
+++ b/currantdeal/adapters/homes_server.py
@@ -24,17 +24,17 @@
         This instance.
     process : int
         Incarnation number of this process.
-    book : GrantBook
+    reservations : HeldReservations
         Grants that this instance holds as an entry.
     pass_on : callable
         Relays a load report to the upstream's home.
     """
 
-    def __init__(self, *, instance, process, book, pass_on):
+    def __init__(self, *, instance, process, reservations, pass_on):
         """Start without an actor; calls are refused until ``attach``."""
         self._instance = instance
         self._process = process
-        self._book = book
+        self._reservations = reservations
         self._pass_on = pass_on
         self._actor = None
 
@@ -84,7 +84,7 @@
 
         From now on this instance renews them at the new home.
         """
-        held = self._book.adopt(
+        held = self._reservations.adopt(
             call.upstream_id, home=call.home, fence=call.fence
         )
         return ClaimsAnswer(
--- a/currantdeal/adapters/homes_work.py
+++ b/currantdeal/adapters/homes_work.py
@@ -29,7 +29,7 @@
 )
 from currantdeal.membership import (
     ClaimsCall,
-    GiveHome,
+    HandOverHome,
     is_reachable,
 )
 from currantdeal.state import (
@@ -169,7 +169,7 @@
             return None
 
     def _move(self, move):
-        giving = isinstance(move, GiveHome)
+        giving = isinstance(move, HandOverHome)
         result = self._propose(
             AssignHome(
                 origin=self._origin(),
--- a/currantdeal/adapters/peers.py
+++ b/currantdeal/adapters/peers.py
@@ -142,8 +142,8 @@
         self._idle = defaultdict(deque)
         self._lock = threading.Lock()
 
-    def call(self, address, service, client_class, send, *, timeout_s):
-        """Call ``send`` with a client for the address and return its result.
+    def call(self, address, service, client_class, rpc, *, timeout_s):
+        """Call ``rpc`` with a client for the address and return its result.
 
         Parameters
         ----------
@@ -153,7 +153,7 @@
             Name under which the processor is registered.
         client_class : type
             Generated client class.
-        send : callable
+        rpc : callable
             Function of the client that makes exactly one call.
         timeout_s : float
             Longest wait for the connection, and again for the answer.
@@ -169,7 +169,7 @@
         protocol = _PROTOCOLS.getProtocol(conn.transport)
         client = client_class(TMultiplexedProtocol(protocol, service))
         try:
-            answer = send(client)
+            answer = rpc(client)
         except (TTransportException, OSError, EOFError) as exc:
             conn.transport.close()
             self.forget(address)
--- a/currantdeal/adapters/replication/directory.py
+++ b/currantdeal/adapters/replication/directory.py
@@ -11,7 +11,7 @@
 
     Parameters
     ----------
-    me : InstanceId
+    local_id : InstanceId
         Name of this instance.
     addresses : mapping
         Peer addresses by replica name, as in the settings.
@@ -19,9 +19,9 @@
         Addresses by replica name that override ``addresses``.
     """
 
-    def __init__(self, *, me, addresses, routes):
+    def __init__(self, *, local_id, addresses, routes):
         """Start with the addresses of the settings."""
-        self._me = me
+        self._local_id = local_id
         self._routes = dict(routes)
         self._addresses = dict(addresses)
         self._leader = None
@@ -29,9 +29,9 @@
         self._lock = threading.Lock()
 
     @property
-    def me(self):
+    def local_id(self):
         """Name of this instance."""
-        return self._me
+        return self._local_id
 
     @property
     def leader(self):
@@ -65,7 +65,9 @@
         unresponsive replica does not delay every attempt while no leader is
         known.
         """
-        others = [name for name in sorted(self._addresses) if name != self._me]
+        others = [
+            name for name in sorted(self._addresses) if name != self._local_id
+        ]
         if not others:
             return ()
         with self._lock:
--- a/currantdeal/adapters/replication/entries.py
+++ b/currantdeal/adapters/replication/entries.py
@@ -53,6 +53,6 @@
     return apply_command(state, command, version=update.index)
 
 
-def state_of(data):
+def state_from_snapshot(data):
     """Decode a snapshot's bytes; no bytes give the empty state."""
     return decode_state(data) if data else ClusterState()
--- a/currantdeal/adapters/replication/handler.py
+++ b/currantdeal/adapters/replication/handler.py
@@ -44,16 +44,16 @@
         The other replicas.
     directory : Directory
         The last known leader.
-    board : ViewBoard
+    view_store : ViewStore
         The latest state, for instances that lag too far for entries.
     """
 
-    def __init__(self, *, local, remotes, directory, board):
+    def __init__(self, *, local, remotes, directory, view_store):
         """Store the dependencies."""
         self._local = local
         self._remotes = remotes
         self._directory = directory
-        self._board = board
+        self._view_store = view_store
         self._encoded = (0, b"")
         self._lock = threading.Lock()
 
@@ -181,12 +181,14 @@
             return False
 
     def _remote_leader(self, leader):
-        return leader if leader and leader != self._directory.me else None
+        return (
+            leader if leader and leader != self._directory.local_id else None
+        )
 
     def _encoded_state(self, version):
         with self._lock:
             if version == 0 or self._encoded[0] != version:
-                state = self._board.latest
+                state = self._view_store.latest
                 if self._encoded[0] != state.version:
                     self._encoded = (state.version, encode_state(state))
             return self._encoded
--- a/currantdeal/adapters/replication/joiner.py
+++ b/currantdeal/adapters/replication/joiner.py
@@ -16,7 +16,7 @@
 from currantdeal.adapters.errors import PeerError
 from currantdeal.adapters.generated.consensus.ttypes import JoinRequest
 from currantdeal.adapters.replication.requests import Bootstrap
-from currantdeal.consensus import Configuration, takes_part
+from currantdeal.consensus import Configuration, is_active_member
 
 CALL_TIMEOUT_S = 0.5
 
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    me : Replica
+    replica : Replica
         This replica, with the address at which others reach it.
     first_set : tuple of Replica
         The replicas of the settings.
@@ -46,10 +46,18 @@
     """
 
     def __init__(
-        self, *, me, first_set, local, remotes, directory, interval_s, clock
+        self,
+        *,
+        replica,
+        first_set,
+        local,
+        remotes,
+        directory,
+        interval_s,
+        clock,
     ):
         """Store the dependencies; nothing runs before ``start``."""
-        self._me = me
+        self._replica = replica
         self._first_set = first_set
         self._local = local
         self._remotes = remotes
@@ -81,10 +89,10 @@
         now_s = self._clock.monotonic_s()
         if status.leader is not None:
             self._leader_seen_s = now_s
-        return not status.blank and takes_part(
+        return not status.blank and is_active_member(
             status.configuration,
-            self._me.instance,
-            alone_s=now_s - self._leader_seen_s,
+            self._replica.instance,
+            leaderless_s=now_s - self._leader_seen_s,
         )
 
     def _try_to_join(self, status):
@@ -94,8 +102,8 @@
             )
             return
         request = JoinRequest(
-            instance=self._me.instance,
-            address=self._me.address,
+            instance=self._replica.instance,
+            address=self._replica.address,
             blank=status.blank,
             forwarded=False,
         )
@@ -105,10 +113,10 @@
 
     def _all_fresh(self):
         names = [replica.instance for replica in self._first_set]
-        if self._me.instance not in names:
+        if self._replica.instance not in names:
             return False
         for name in names:
-            if name == self._me.instance:
+            if name == self._replica.instance:
                 continue
             answer = self._call(name, lambda client: client.hello())
             if answer is None or not answer.fresh:
--- a/currantdeal/adapters/replication/follower.py
+++ b/currantdeal/adapters/replication/lease_renewer.py
@@ -17,7 +17,7 @@
     RenewRequest,
     StatePieceRequest,
 )
-from currantdeal.adapters.replication.entries import state_of
+from currantdeal.adapters.replication.entries import state_from_snapshot
 from currantdeal.adapters.replication.remote import from_wire
 from currantdeal.state import SnapshotError
 
@@ -43,10 +43,10 @@
     ----------
     instance, region : str
         Of this instance.
-    board : ViewBoard
+    view_store : ViewStore
         Receives the states and the lease.
     handler : ReplicaHandler or None
-        The replica of this process, which publishes to the board itself.
+        The replica of this process, which publishes to the view store itself.
     remotes : RemoteReplicas
         The replicas of other instances.
     directory : Directory
@@ -62,7 +62,7 @@
         *,
         instance,
         region,
-        board,
+        view_store,
         handler,
         remotes,
         directory,
@@ -73,7 +73,7 @@
         """Store the dependencies; nothing runs before ``start``."""
         self._instance = instance
         self._region = region
-        self._board = board
+        self._view_store = view_store
         self._handler = handler
         self._remotes = remotes
         self._directory = directory
@@ -93,7 +93,7 @@
         """Stop renewing and release the lease, here and on the leader."""
         self._stopped.set()
         self._wake.set()
-        self._board.drop_lease()
+        self._view_store.drop_lease()
         self._release()
 
     def renew_now(self):
@@ -103,18 +103,18 @@
     def renew(self):
         """Renew once; return whether the answer has a later version."""
         sent_s = self._clock.monotonic_s()
-        known = self._board.version
+        known = self._view_store.version
         answer, replica = self._request_renewal(known)
         if answer is None:
             return False
         self._apply_entries(answer, replica)
         wait_s = max(0.0, sent_s + self._timeout_s - self._now_s)
-        if self._board.wait_received(answer.version, timeout_s=wait_s):
+        if self._view_store.wait_received(answer.version, timeout_s=wait_s):
             # The lease is extended only after the view has its version.
             # Otherwise the lease could be valid with an older view, and work
             # would be routed to a withdrawn upstream.
-            self._board.make_visible_from(answer.version)
-            self._board.extend_lease(sent_s + answer.remaining_s)
+            self._view_store.make_visible_from(answer.version)
+            self._view_store.extend_lease(sent_s + answer.remaining_s)
         return answer.version > known
 
     @property
@@ -165,7 +165,7 @@
         if answer.snapshot_needed and replica is not None:
             self._fetch_snapshot(replica)
         else:
-            self._board.apply(from_wire(answer.entries))
+            self._view_store.apply(from_wire(answer.entries))
 
     def _fetch_snapshot(self, replica):
         raw = bytearray()
@@ -187,7 +187,7 @@
             version, total = piece.version, piece.total
             raw += piece.data
         try:
-            self._board.publish(state_of(bytes(raw)))
+            self._view_store.publish(state_from_snapshot(bytes(raw)))
         except SnapshotError:
             return
 
--- a/currantdeal/adapters/replication/port.py
+++ b/currantdeal/adapters/replication/port.py
@@ -42,7 +42,7 @@
 
     Parameters
     ----------
-    board : ViewBoard
+    view_store : ViewStore
         The view and its lease.
     renewer : LeaseRenewer
         Renews at once when a proposal needs a later view.
@@ -56,9 +56,11 @@
         Source of time.
     """
 
-    def __init__(self, *, board, renewer, handler, remotes, directory, clock):
+    def __init__(
+        self, *, view_store, renewer, handler, remotes, directory, clock
+    ):
         """Store the dependencies."""
-        self._board = board
+        self._view_store = view_store
         self._renewer = renewer
         self._handler = handler
         self._remotes = remotes
@@ -67,11 +69,11 @@
 
     def view(self):
         """Return the visible state."""
-        return self._board.view
+        return self._view_store.view
 
     def lease_remaining_s(self):
         """Return how long the view may still be used for new work."""
-        return max(0.0, self._board.lease_ends_s - self._now_s)
+        return max(0.0, self._view_store.lease_ends_s - self._now_s)
 
     def leader(self):
         """Return the last known leader, or None."""
@@ -176,16 +178,18 @@
         return ProposeRequest(
             command=raw,
             timeout_s=left_s,
-            version=self._board.version,
+            version=self._view_store.version,
             forwarded=local,
         )
 
     def _apply_result(self, answer, due_s):
-        self._board.apply(from_wire(answer.entries))
-        if self._board.view.version < answer.version:
+        self._view_store.apply(from_wire(answer.entries))
+        if self._view_store.view.version < answer.version:
             self._renewer.renew_now()
             wait_s = max(0.0, due_s - self._now_s)
-            if not self._board.wait_visible(answer.version, timeout_s=wait_s):
+            if not self._view_store.wait_visible(
+                answer.version, timeout_s=wait_s
+            ):
                 raise StateUnavailableError(
                     "committed, but not visible on this instance yet",
                     proposed=True,
--- a/currantdeal/adapters/replication/replica.py
+++ b/currantdeal/adapters/replication/replica.py
@@ -14,7 +14,7 @@
 from currantdeal.adapters.replication import compaction
 from currantdeal.adapters.replication.entries import (
     apply_update,
-    state_of,
+    state_from_snapshot,
     update_from_entry,
 )
 from currantdeal.adapters.replication.errors import NotProposedError
@@ -67,13 +67,13 @@
 
     Parameters
     ----------
-    me : InstanceId
+    local_id : InstanceId
         Name of this replica.
     folder : DataFolder
         Its durable state.
     outbox : Outbox
         Sends messages to other replicas.
-    board : ViewBoard
+    view_store : ViewStore
         Receives every applied state.
     clock : Clock
         Source of time.
@@ -92,10 +92,10 @@
     def __init__(
         self,
         *,
-        me,
+        local_id,
         folder,
         outbox,
-        board,
+        view_store,
         clock,
         random,
         node_settings,
@@ -106,19 +106,19 @@
         super().__init__()
         self._folder = folder
         self._outbox = outbox
-        self._board = board
+        self._view_store = view_store
         self._clock = clock
         self._lease_s = lease_s
         self._on_configuration = on_configuration
         stored = folder.stored
         self._node = Node(
-            me=me,
+            local_id=local_id,
             settings=node_settings,
             stored=stored,
             random=random,
             now_s=clock.monotonic_s(),
         )
-        self._state = state_of(
+        self._state = state_from_snapshot(
             stored.snapshot.data if stored.snapshot else b""
         )
         self._compaction = compaction.Compaction(
@@ -131,7 +131,7 @@
         self._unsaved = None
         self._logged_role = None
         self._configuration = None
-        board.publish(self._state)
+        view_store.publish(self._state)
 
     def on_receive(self, message):
         """Handle one message; write and sync if the inbox is empty."""
@@ -242,7 +242,7 @@
             return LeaseProgress(leads=False)
         table, now_s = self._lease_table(), self._now_s
         homes = {home.instance for home in self._state.homes.values()}
-        holders = table.holders(now_s, also=homes)
+        holders = table.holders(now_s, possible_holders=homes)
         return LeaseProgress(
             leads=True,
             holders=holders,
@@ -358,12 +358,12 @@
             if not self._open_calls.add_message(message)
         )
         if output.installed is not None:
-            self._state = state_of(output.installed.data)
+            self._state = state_from_snapshot(output.installed.data)
             self._compaction.record_snapshot(output.installed.index)
         for entry in output.committed:
             self._apply(entry)
         if output.installed is not None or output.committed:
-            self._board.publish(self._state)
+            self._view_store.publish(self._state)
         return bool(output.writes or output.committed)
 
     def _save(self, output):
--- a/currantdeal/adapters/replication/requests.py
+++ b/currantdeal/adapters/replication/requests.py
@@ -5,7 +5,7 @@
 from pykka import Future
 
 from currantdeal.adapters.replication.entries import StateUpdate
-from currantdeal.consensus import Configuration, Holder, Message, Replica
+from currantdeal.consensus import Configuration, LeaseHolder, Message, Replica
 from currantdeal.core import InstanceId, RegionId
 
 
@@ -118,7 +118,7 @@
     """The lease holders, with the remaining time of each lease."""
 
     leads: bool
-    holders: tuple[Holder, ...] = ()
+    holders: tuple[LeaseHolder, ...] = ()
     remaining_s: tuple[float, ...] = ()
 
 
--- a/currantdeal/adapters/replication/service.py
+++ b/currantdeal/adapters/replication/service.py
@@ -9,11 +9,10 @@
 
 from currantdeal.adapters.disk import DataFolder
 from currantdeal.adapters.generated.consensus import Replica as ReplicaService
-from currantdeal.adapters.replication.board import ViewBoard
 from currantdeal.adapters.replication.directory import Directory
-from currantdeal.adapters.replication.follower import LeaseRenewer
 from currantdeal.adapters.replication.handler import ReplicaHandler
 from currantdeal.adapters.replication.joiner import Joiner
+from currantdeal.adapters.replication.lease_renewer import LeaseRenewer
 from currantdeal.adapters.replication.local import LocalReplica
 from currantdeal.adapters.replication.names import SERVICE_NAME
 from currantdeal.adapters.replication.outbox import Outbox
@@ -26,6 +25,7 @@
     Tick,
     TransferLeadership,
 )
+from currantdeal.adapters.replication.view_store import ViewStore
 from currantdeal.consensus import NodeSettings, Replica
 
 TICKS_PER_HEARTBEAT = 3
@@ -61,7 +61,7 @@
         peer_server.start()
         state.start()
         ...                     # pass state.port to serving and membership
-        state.hand_over()       # on a drain, while still serving
+        state.transfer_leadership()       # on a drain, while still serving
         state.stop()            # when no new work is assigned any more
     """
 
@@ -78,7 +78,7 @@
         """Build the components and register the replica's handler."""
         self._clock = clock
         self._timing = settings.timing
-        self._me = Replica(
+        self._replica = Replica(
             instance=settings.instance,
             address=settings.advertised_peer_address or settings.peer_address,
         )
@@ -90,7 +90,7 @@
         self._remotes = RemoteReplicas(
             pool=peer_pool, directory=self._directory
         )
-        self._board = ViewBoard()
+        self._view_store = ViewStore()
         self._stopped = threading.Event()
         self._ref = self._local = self._handler = None
         self._joiner = self._outbox = None
@@ -98,7 +98,7 @@
             self._add_replica(settings, peer_server, peer_pool, rng, sync)
         self._renewer = self._build_renewer(settings)
         self._port = ReplicatedState(
-            board=self._board,
+            view_store=self._view_store,
             renewer=self._renewer,
             handler=self._handler,
             remotes=self._remotes,
@@ -125,7 +125,7 @@
             self._joiner.start()
         self._renewer.start()
 
-    def hand_over(self, *, timeout_s=3.0):
+    def transfer_leadership(self, *, timeout_s=3.0):
         """Transfer leadership to another replica; return False on timeout.
 
         Returns True at once on an instance that does not lead.
@@ -156,7 +156,7 @@
 
     def _build_directory(self, settings):
         return Directory(
-            me=settings.instance,
+            local_id=settings.instance,
             addresses={rep.instance: rep.address for rep in self._first_set},
             routes={rt.instance: rt.peer_address for rt in settings.routes},
         )
@@ -165,7 +165,7 @@
         return LeaseRenewer(
             instance=settings.instance,
             region=settings.region,
-            board=self._board,
+            view_store=self._view_store,
             handler=self._handler,
             remotes=self._remotes,
             directory=self._directory,
@@ -184,10 +184,10 @@
             on_replies=self._deliver_replies,
         )
         self._ref = ReplicaActor.start(
-            me=settings.instance,
+            local_id=settings.instance,
             folder=folder,
             outbox=self._outbox,
-            board=self._board,
+            view_store=self._view_store,
             clock=self._clock,
             random=rng or random.Random(),
             node_settings=NodeSettings(
@@ -202,13 +202,13 @@
             local=self._local,
             remotes=self._remotes,
             directory=self._directory,
-            board=self._board,
+            view_store=self._view_store,
         )
         peer_server.register(
             SERVICE_NAME, ReplicaService.Processor(self._handler)
         )
         self._joiner = Joiner(
-            me=self._me,
+            replica=self._replica,
             first_set=self._first_set,
             local=self._local,
             remotes=self._remotes,
--- a/currantdeal/adapters/replication/tests/test_linearizability.py
+++ b/currantdeal/adapters/replication/tests/test_linearizability.py
@@ -35,15 +35,15 @@
 def test_checker_accepts_only_linearizable_histories():
     def history(*answers):
         return [
-            Operation(call_s=n, return_s=n + 0.5, ask=0, answer=answer)
+            Operation(call_s=n, return_s=n + 0.5, request=0, answer=answer)
             for n, answer in enumerate(answers)
         ]
 
     assert is_linearizable(history("won", "lost"), start=0, step=swap)
     assert not is_linearizable(history("won", "won"), start=0, step=swap)
     assert not is_linearizable(history("lost", "won"), start=0, step=swap)
-    lost_answer = Operation(call_s=0.0, ask=0)
-    later = Operation(call_s=1.0, return_s=2.0, ask=0, answer="lost")
+    lost_answer = Operation(call_s=0.0, request=0)
+    later = Operation(call_s=1.0, return_s=2.0, request=0, answer="lost")
     assert is_linearizable([lost_answer, later], start=0, step=swap)
 
 
@@ -91,21 +91,21 @@
     def _record(self, key, call):
         call_s = time.monotonic()
         try:
-            ask, answer = call(key)
+            request, answer = call(key)
         except StateUnavailableError:
             return
         operation = Operation(
             call_s=call_s,
             return_s=time.monotonic(),
-            ask=ask,
+            request=request,
             answer=answer,
         )
         self.histories.setdefault(key, []).append(operation)
 
 
-def swap_version(version, ask):
+def swap_version(version, request):
     """Model of a selector whose versions are those of the state."""
-    expected, after = ask
+    expected, after = request
     if expected != version:
         return version, "lost"
     return after, "won"
--- a/currantdeal/adapters/replication/tests/test_replicated_state.py
+++ b/currantdeal/adapters/replication/tests/test_replicated_state.py
@@ -260,6 +260,6 @@
 def test_leadership_is_transferred_on_request(cluster):
     leader = cluster.wait_for_leader()
     propose(cluster, "i4", selector("all"))
-    assert cluster.services[leader].hand_over(timeout_s=LIMIT_S)
+    assert cluster.services[leader].transfer_leadership(timeout_s=LIMIT_S)
     wait_until(lambda: cluster.leader() not in (None, leader))
     assert isinstance(propose(cluster, leader, selector("more")), Applied)
--- a/currantdeal/adapters/replication/board.py
+++ b/currantdeal/adapters/replication/view_store.py
@@ -10,7 +10,7 @@
 from currantdeal.state import ClusterState
 
 
-class ViewBoard:
+class ViewStore:
     """The state that this instance makes visible to its readers.
 
     No state is visible before ``make_visible_from`` is called.  After a
@@ -23,7 +23,7 @@
         """Start with the empty state and without a lease."""
         self._latest = ClusterState()
         self._visible = ClusterState()
-        self._floor = None
+        self._min_visible_version = None
         self._lease_ends_s = 0.0
         self._changed = threading.Condition()
 
@@ -74,8 +74,8 @@
         Only the first call sets the version.
         """
         with self._changed:
-            if self._floor is None:
-                self._floor = version
+            if self._min_visible_version is None:
+                self._min_visible_version = version
             self._publish(self._latest)
 
     def extend_lease(self, ends_s):
@@ -105,6 +105,9 @@
     def _publish(self, state):
         if state.version > self._latest.version:
             self._latest = state
-        if self._floor is not None and self._latest.version >= self._floor:
+        if (
+            self._min_visible_version is not None
+            and self._latest.version >= self._min_visible_version
+        ):
             self._visible = self._latest
         self._changed.notify_all()
--- a/currantdeal/adapters/tests/test_connections.py
+++ b/currantdeal/adapters/tests/test_connections.py
@@ -6,7 +6,7 @@
 from currantdeal.adapters.connections import Connections, HttpRequest
 from currantdeal.core import (
     UpstreamCrashedError,
-    UpstreamSilentError,
+    UpstreamTimeoutError,
     UpstreamUnreachableError,
 )
 
@@ -35,7 +35,7 @@
 
 
 def _failure(upstream):
-    with pytest.raises(UpstreamSilentError) as caught:
+    with pytest.raises(UpstreamTimeoutError) as caught:
         Connections().fetch(upstream.request, timeout_s=2.0)
     return caught.value
 
--- a/currantdeal/cli/control_process.py
+++ b/currantdeal/cli/control_process.py
@@ -20,9 +20,9 @@
 from currantdeal.consensus import MESSAGE_CODEC
 from currantdeal.consensus import NodeSettings as RaftSettings
 from currantdeal.control.config_access import ConfigAccess
-from currantdeal.control.crash_ledger import CrashLedger
+from currantdeal.control.crash_replicator import CrashReplicator
 from currantdeal.control.crash_store import CrashStore
-from currantdeal.control.demand_book import DemandBook
+from currantdeal.control.demand_tracker import DemandTracker
 from currantdeal.control.exchange import RecordExchange
 from currantdeal.control.membership import JOIN_INTERVAL_S, Membership
 from currantdeal.control.orders import StageOrders
@@ -86,7 +86,7 @@
         self._stopping = None
         self._metrics = Metrics()
         self._replica = Replica(
-            me=self._own_address,
+            local_id=self._own_address,
             folder=DataFolder(path=settings.data_folder),
             node_settings=RaftSettings(
                 heartbeat_s=RAFT_HEARTBEAT_S,
@@ -99,15 +99,15 @@
             on_state=self._on_state,
         )
         self._membership = Membership(
-            me=self._own_address,
+            local_id=self._own_address,
             replica=self._replica,
             links=self._link,
-            first_set=lambda: self._file.current.control_peers,
+            initial_addresses=lambda: self._file.current.control_peers,
             clock=time.monotonic,
         )
         dialect = PlatformControl()
         exchange = RecordExchange(
-            me=ControlPlace(
+            local_place=ControlPlace(
                 address=self._own_address, data_center=settings.data_center
             ),
             control=lambda: self._membership.control_addresses,
@@ -116,13 +116,13 @@
             heartbeat_s=settings.heartbeat_ms / 1_000.0,
             clock=time.monotonic,
         )
-        demand = DemandBook(
+        demand = DemandTracker(
             read_config=dialect.read_config, clock=time.monotonic
         )
         self._crash_store = CrashStore(
             file=StateFile(path=Path(settings.data_folder) / CRASHES_FILE)
         )
-        self._crashes = CrashLedger(
+        self._crashes = CrashReplicator(
             exchange=exchange,
             clock=time.monotonic,
             on_change=self._crash_store.save,
@@ -132,7 +132,9 @@
             replica=self._replica,
             membership=self._membership,
             config=ConfigAccess(
-                replica=self._replica, links=self._link, me=self._own_address
+                replica=self._replica,
+                links=self._link,
+                local_id=self._own_address,
             ),
             exchange=exchange,
             demand=demand,
@@ -140,15 +142,17 @@
             clock=time.monotonic,
         )
         self._orders = StageOrders(
-            me=settings.instance,
+            local_id=settings.instance,
             replica=self._replica,
             exchange=exchange,
             demand=demand,
             pool=ConnectionPool(),
             dialect=PlatformCalls(),
-            pause_s=read_bounds(settings.bounds).order_pause_s,
+            min_order_interval_s=read_bounds(
+                settings.bounds
+            ).min_order_interval_s,
             clock=time.monotonic,
-            held=lambda: self._service.held,
+            held_tokens=lambda: self._service.held_tokens,
         )
 
     async def run(self):
@@ -168,7 +172,7 @@
             blank=self._replica.node.blank,
             voters=self._replica.node.configuration.voter_names,
         )
-        self._membership.begin(first_start=bool(settings.first_start))
+        self._membership.bootstrap(first_start=bool(settings.first_start))
         self._service.on_state(self._replica.state)
         self._crashes.load(self._crash_store.load())
         await self._listen(settings)
@@ -182,10 +186,10 @@
             asyncio.ensure_future(self._replica.run()),
             asyncio.ensure_future(self._file.watch()),
             asyncio.ensure_future(
-                call_periodically(HEARTBEAT_S, self._service.beat)
+                call_periodically(HEARTBEAT_S, self._service.send_heartbeat)
             ),
             asyncio.ensure_future(
-                call_periodically(LOAD_INTERVAL_S, self._service.tell_loads)
+                call_periodically(LOAD_INTERVAL_S, self._service.publish_loads)
             ),
             asyncio.ensure_future(self._step_membership()),
             asyncio.ensure_future(self._crash_store.run()),
@@ -197,7 +201,7 @@
         )
         for task in done:
             task.result()
-        _log.info("stopping", leads=self._replica.leads)
+        _log.info("stopping", leads=self._replica.is_leader)
         self._replica.node.transfer(time.monotonic())
         await asyncio.gather(
             asyncio.sleep(LEADER_TRANSFER_S), self._membership.leave()
@@ -224,8 +228,8 @@
         node = self._replica.node
         self._metrics.set("config_version", self._replica.state.version)
         self._metrics.set("term", node.term)
-        self._metrics.set("leads", float(self._replica.leads))
-        self._metrics.set("knows_leader", float(self._service.current))
+        self._metrics.set("leads", float(self._replica.is_leader))
+        self._metrics.set("knows_leader", float(self._service.has_leader))
         self._metrics.set("voters", len(node.configuration.voter_names))
         self._metrics.set("learners", len(node.configuration.learner_names))
         self._metrics.set("quorum", node.configuration.quorum)
@@ -241,7 +245,7 @@
     async def _step_membership(self):
         while True:
             await asyncio.sleep(JOIN_INTERVAL_S)
-            await self._membership.step()
+            await self._membership.join_if_needed()
 
     def _on_state(self, state):
         self._service.on_state(state)
--- a/currantdeal/cli/entry_process.py
+++ b/currantdeal/cli/entry_process.py
@@ -81,7 +81,7 @@
             random=random.Random(),
             budget=BudgetBounds(
                 ratio=self._bounds.retry_ratio,
-                allowance=self._bounds.retry_allowance,
+                allowance=self._bounds.retry_burst,
                 window_s=self._bounds.retry_window_s,
             ),
             metrics=self._metrics,
@@ -144,7 +144,7 @@
         for task in done:
             task.result()
         await self._drain()
-        _log.info("stopped", cut=self._server.busy)
+        _log.info("stopped", cut=self._server.active_requests)
 
     @property
     def _is_ready(self):
@@ -175,20 +175,20 @@
         self._ready = False
         self._server.closing = True
         self._subscription.announce()
-        _log.info("stopping", requests=self._server.busy)
+        _log.info("stopping", requests=self._server.active_requests)
         await asyncio.sleep(REFUSE_STREAMS_AFTER_S)
         self._service.refuse_streams = True
         await asyncio.sleep(STOP_ACCEPTING_AFTER_S - REFUSE_STREAMS_AFTER_S)
         self._server.stop_listening()
         self._server.close_idle()
-        while self._server.busy and loop.time() < exit_s:
+        while self._server.active_requests and loop.time() < exit_s:
             await asyncio.sleep(0.05)
 
     def _set_gauges(self):
         view = self._view
         self._metrics.set("config_version", view.version)
         self._metrics.set("view_age_seconds", view.age_s)
-        self._metrics.set("requests_in_progress", self._server.busy)
+        self._metrics.set("requests_in_progress", self._server.active_requests)
         self._metrics.set("entries", view.entries)
         self._metrics.set(
             "quarantined_requests", len(self._context.crash_watch.quarantined)
--- a/currantdeal/cli/tests/test_commands.py
+++ b/currantdeal/cli/tests/test_commands.py
@@ -11,8 +11,8 @@
 from currantdeal.testing.cluster import Cluster
 from currantdeal.testing.output import expected_output
 from currantdeal.testing.shapes import (
-    ALONE,
     OPERATOR_KEY,
+    STANDALONE_COMMAND,
     ClusterShape,
     spread,
 )
@@ -22,7 +22,7 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory):
-    shape = ClusterShape(instances=spread(1), command=ALONE)
+    shape = ClusterShape(instances=spread(1), command=STANDALONE_COMMAND)
     folder = tmp_path_factory.mktemp("cluster")
     with Cluster(folder=folder, shape=shape) as new_cluster:
         new_cluster.start()
--- a/currantdeal/cli/tests/test_node_processes.py
+++ b/currantdeal/cli/tests/test_node_processes.py
@@ -137,10 +137,10 @@
 def _check_drain(cluster, standin):
     cluster.announce("u1", _heartbeat(standin, state="draining", sequence=2))
     time.sleep(0.5)
-    before = len(standin.seen)
+    before = len(standin.requests)
     for entry in cluster.entries:
         assert _request(entry, ORDER).startswith(b"HTTP/1.1 503")
-    assert len(standin.seen) == before
+    assert len(standin.requests) == before
 
 
 def test_changes_outlive_the_kill_of_all_processes(tmp_path, upstreams):
--- a/currantdeal/cli/tests/test_poison_records.py
+++ b/currantdeal/cli/tests/test_poison_records.py
@@ -129,7 +129,7 @@
     entry = cluster.entries[0]
     # A run of this length is reported to control while it lasts.
     fleet = CrashingFleet(
-        cluster=cluster, crashes_under=lambda request: False, work_s=0.4
+        cluster=cluster, crashes_on=lambda request: False, work_s=0.4
     )
     await fleet.start()
     try:
--- a/currantdeal/cli/tests/test_query_of_death.py
+++ b/currantdeal/cli/tests/test_query_of_death.py
@@ -29,7 +29,7 @@
         self.cluster = NodeCluster(folder=folder, control=3, entries=3)
         self.fleet = CrashingFleet(
             cluster=self.cluster,
-            crashes_under=lambda request: request.body == POISON,
+            crashes_on=lambda request: request.body == POISON,
         )
         self._sent = 0
 
--- a/currantdeal/cli/tests/test_state_commands.py
+++ b/currantdeal/cli/tests/test_state_commands.py
@@ -6,7 +6,10 @@
 from click.testing import CliRunner
 
 from currantdeal.adapters.disk import DataFolder
-from currantdeal.adapters.replication.entries import COMMAND_CODEC, state_of
+from currantdeal.adapters.replication.entries import (
+    COMMAND_CODEC,
+    state_from_snapshot,
+)
 from currantdeal.cli.main import main
 from currantdeal.consensus import (
     Configuration,
@@ -80,4 +83,4 @@
     stored = disk.stored
     disk.close()
     assert stored.snapshot.configuration.voter_names == ("i7", "i8")
-    assert "kept" in state_of(stored.snapshot.data).selectors
+    assert "kept" in state_from_snapshot(stored.snapshot.data).selectors
--- a/currantdeal/cli/tests/test_whole_path.py
+++ b/currantdeal/cli/tests/test_whole_path.py
@@ -126,7 +126,7 @@
     stream = caller.open_stream("cake tokens=900", max_tokens=900)
     assert len(stream.read_some(2)) >= 2
     assert cluster.stand_in("d1").client.held()
-    stream.hang_up()
+    stream.disconnect()
     wait_until(lambda: _no_memory_held(cluster), what="free memory", limit_s=5)
 
 
--- a/currantdeal/cli/wiring.py
+++ b/currantdeal/cli/wiring.py
@@ -55,6 +55,6 @@
         ),
         hand_over=(
             partial(homes.hand_over, timeout_s=HAND_OVER_TIMEOUT_S),
-            partial(state.hand_over, timeout_s=HAND_OVER_TIMEOUT_S),
+            partial(state.transfer_leadership, timeout_s=HAND_OVER_TIMEOUT_S),
         ),
     )
--- a/currantdeal/consensus/__init__.py
+++ b/currantdeal/consensus/__init__.py
@@ -8,7 +8,7 @@
     InvariantError,
     NotLeaderError,
 )
-from currantdeal.consensus.leases import CLOCK_DRIFT, Holder, LeaseTable
+from currantdeal.consensus.leases import CLOCK_DRIFT, LeaseHolder, LeaseTable
 from currantdeal.consensus.log import Log
 from currantdeal.consensus.messages import (
     MESSAGE_CODEC,
@@ -36,24 +36,24 @@
     ChangeReason,
     MemberHealth,
     ReplicaSetChange,
-    may_give_way,
+    can_leave,
+    is_active_member,
     next_change,
-    takes_part,
 )
 
 __all__ = [
     "AppendAnswer",
     "AppendRequest",
     "CLOCK_DRIFT",
-    "ChangeReason",
     "ChangePendingError",
+    "ChangeReason",
     "CompactedError",
     "Configuration",
     "ConsensusError",
     "Entry",
     "EntryKind",
-    "Holder",
     "InvariantError",
+    "LeaseHolder",
     "LeaseTable",
     "Log",
     "MESSAGE_CODEC",
@@ -77,7 +77,7 @@
     "VoteAnswer",
     "VoteRequest",
     "Write",
-    "may_give_way",
+    "can_leave",
+    "is_active_member",
     "next_change",
-    "takes_part",
 ]
--- a/currantdeal/consensus/elections.py
+++ b/currantdeal/consensus/elections.py
@@ -29,7 +29,7 @@
     if not raft.is_voter or raft.blank:
         return
     raft.role = RaftRole.PRE_CANDIDATE
-    raft.votes = {raft.me}
+    raft.votes = {raft.local_id}
     _request_votes(raft, term=raft.term + 1, pre=True, transfer=False)
     _count_votes(raft, now_s)
 
@@ -38,9 +38,9 @@
     """Increment the term and request votes."""
     raft.role = RaftRole.CANDIDATE
     raft.leader = None
-    raft.set_term(raft.term + 1, raft.me)
+    raft.set_term(raft.term + 1, raft.local_id)
     raft.reset_election_timer(now_s)
-    raft.votes = {raft.me}
+    raft.votes = {raft.local_id}
     _request_votes(raft, term=raft.term, pre=False, transfer=transfer)
     _count_votes(raft, now_s)
 
@@ -123,7 +123,7 @@
     raft.messages.append(
         VoteAnswer(
             term=request.term if is_granted_pre_vote else raft.term,
-            sender=raft.me,
+            sender=raft.local_id,
             to=request.sender,
             granted=granted,
             pre=request.pre,
@@ -133,11 +133,11 @@
 
 def _request_votes(raft, *, term, pre, transfer):
     for name in raft.configuration.voter_names:
-        if name != raft.me:
+        if name != raft.local_id:
             raft.messages.append(
                 VoteRequest(
                     term=term,
-                    sender=raft.me,
+                    sender=raft.local_id,
                     to=name,
                     last_index=raft.log.last_index,
                     last_term=raft.log.last_term,
--- a/currantdeal/consensus/following.py
+++ b/currantdeal/consensus/following.py
@@ -127,7 +127,7 @@
     raft.messages.append(
         SnapshotAnswer(
             term=raft.term,
-            sender=raft.me,
+            sender=raft.local_id,
             to=piece.sender,
             index=piece.index,
             offset=len(raft.snapshot_buffer),
@@ -141,7 +141,7 @@
     raft.messages.append(
         AppendAnswer(
             term=raft.term,
-            sender=raft.me,
+            sender=raft.local_id,
             to=request.sender,
             accepted=accepted,
             match_index=match,
--- a/currantdeal/consensus/leases.py
+++ b/currantdeal/consensus/leases.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Holder:
+class LeaseHolder:
     """An instance that has requested a lease from this leader.
 
     Parameters
@@ -93,7 +93,7 @@
         """
         previous = self._holders.get(instance)
         ends_s = anchor_s + self._max_lease_s
-        self._holders[instance] = Holder(
+        self._holders[instance] = LeaseHolder(
             instance=instance,
             region=region,
             version=version,
@@ -120,12 +120,12 @@
         ends_s = holder.ends_s if holder else 0.0
         return max(0.0, max(ends_s, self._earlier_leases_end_s) - now_s)
 
-    def holders(self, now_s, *, also=()):
+    def holders(self, now_s, *, possible_holders=()):
         """Return the current and recent holders, sorted by name.
 
         Parameters
         ----------
-        also : iterable of InstanceId
+        possible_holders : iterable of InstanceId
             Instances that may hold a lease from an earlier leader.  They are
             included as long as such a lease may still be valid.
         """
@@ -134,12 +134,12 @@
                 del self._holders[name]
         found = dict(self._holders)
         if now_s < self._earlier_leases_end_s:
-            for name in also:
+            for name in possible_holders:
                 found.setdefault(name, self._unknown_holder(name))
         return tuple(found[name] for name in sorted(found))
 
     def _unknown_holder(self, name):
-        return Holder(
+        return LeaseHolder(
             instance=name,
             region=RegionId(""),
             version=0,
--- a/currantdeal/consensus/node.py
+++ b/currantdeal/consensus/node.py
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    me : InstanceId
+    local_id : InstanceId
         Name of this replica.
     settings : NodeSettings
         Timeouts and size limits.
@@ -59,8 +59,8 @@
     >>> alone = Configuration(voters=(Replica(instance="i1", address=""),))
     >>> first = Snapshot(index=0, term=0, configuration=alone)
     >>> node = Node(
-    ...     me="i1", settings=NodeSettings(), stored=Stored(snapshot=first),
-    ...     random=random.Random(1), now_s=0.0)
+    ...     local_id="i1", settings=NodeSettings(),
+    ...     stored=Stored(snapshot=first), random=random.Random(1), now_s=0.0)
     >>> node.tick(2.0)
     >>> node.synced(node.take_output().last_index)
     >>> node.is_ready
@@ -71,10 +71,14 @@
     [2, 3]
     """
 
-    def __init__(self, *, me, settings, stored, random, now_s):
+    def __init__(self, *, local_id, settings, stored, random, now_s):
         """Start as a follower with the data read from disk."""
         self._raft = Raft(
-            me=me, settings=settings, random=random, stored=stored, now_s=now_s
+            local_id=local_id,
+            settings=settings,
+            random=random,
+            stored=stored,
+            now_s=now_s,
         )
 
     @property
@@ -148,9 +152,9 @@
         return self._raft.configuration
 
     @property
-    def set_change(self):
+    def last_replica_set_change(self):
         """The latest ``ReplicaSetChange`` by this replica as leader."""
-        return self._raft.set_change
+        return self._raft.last_replica_set_change
 
     @property
     def change_pending(self):
@@ -213,7 +217,8 @@
         raft = self._raft
         if raft.role is not RaftRole.LEADER or raft.transfer_to is not None:
             raise NotLeaderError(
-                f"{raft.me} is not the leader or is transferring leadership"
+                f"{raft.local_id} is not the leader or is "
+                "transferring leadership"
             )
         return replication.append(raft, payloads, EntryKind.COMMAND, now_s)
 
@@ -246,7 +251,7 @@
         """
         raft = self._raft
         if not self.is_ready:
-            raise NotLeaderError(f"{raft.me} is not a ready leader")
+            raise NotLeaderError(f"{raft.local_id} is not a ready leader")
         if instance not in raft.configuration.member_names:
             return not self.change_pending
         raft.leave_requested_s[instance] = now_s
@@ -332,7 +337,7 @@
             # a change of the replica set that is already in force, and two
             # quorums without a common replica could form.
             raise NotLeaderError(
-                f"{self._raft.me} is not ready to change the replica set"
+                f"{self._raft.local_id} is not ready to change the replica set"
             )
         if self.change_pending:
             raise ChangePendingError(
--- a/currantdeal/consensus/raft.py
+++ b/currantdeal/consensus/raft.py
@@ -90,9 +90,9 @@
 class Raft:
     """Term, log, role and pending output of one replica."""
 
-    def __init__(self, *, me, settings, random, stored, now_s):
+    def __init__(self, *, local_id, settings, random, stored, now_s):
         """Restore the state from the data that was read from disk."""
-        self.me: InstanceId = me
+        self.local_id: InstanceId = local_id
         self.settings = settings
         self.random = random
         self.term = stored.term
@@ -111,7 +111,7 @@
         self.votes = set()
         self.progress = {}
         self.leave_requested_s = {}
-        self.set_change = None
+        self.last_replica_set_change = None
         self.first_own_index = 0
         self.elected_s = NEVER_S
         self.transfer_to = None
@@ -150,7 +150,7 @@
     @property
     def is_voter(self):
         """True when this replica is a voter of the latest replica set."""
-        return self.me in self.configuration.voter_names
+        return self.local_id in self.configuration.voter_names
 
     def reset_election_timer(self, now_s):
         """Restart the election timer with a new random timeout."""
--- a/currantdeal/consensus/replica_set.py
+++ b/currantdeal/consensus/replica_set.py
@@ -90,24 +90,27 @@
     )
 
 
-def may_give_way(configuration, instance):
+def can_leave(configuration, instance):
     """Return whether a leaving member can be removed or replaced."""
     if instance in configuration.voter_names:
         return _is_even(configuration) or bool(configuration.learners)
     return instance in configuration.learner_names
 
 
-def takes_part(configuration, instance, *, alone_s):
+def is_active_member(configuration, instance, *, leaderless_s):
     """Return whether a replica is a member and need not ask to join.
 
     It applies to replicas that are not blank; a blank one always asks.
 
     Parameters
     ----------
-    alone_s : float
+    leaderless_s : float
         Seconds since the replica last had a leader.
     """
-    return instance in configuration.member_names and alone_s < REJOIN_AFTER_S
+    return (
+        instance in configuration.member_names
+        and leaderless_s < REJOIN_AFTER_S
+    )
 
 
 def _remove_learner(configuration, health):
--- a/currantdeal/consensus/replication.py
+++ b/currantdeal/consensus/replication.py
@@ -36,7 +36,7 @@
     5.4.2).
     """
     raft.role = RaftRole.LEADER
-    raft.leader = raft.me
+    raft.leader = raft.local_id
     raft.elected_s = now_s
     raft.transfer_to = None
     raft.progress = {}
@@ -95,7 +95,7 @@
     after this time.
     """
     times = [
-        now_s if name == raft.me else _acked_s(raft, name)
+        now_s if name == raft.local_id else _acked_s(raft, name)
         for name in raft.configuration.voter_names
     ]
     return sorted(times, reverse=True)[raft.configuration.quorum - 1]
@@ -166,7 +166,7 @@
     if raft.role is not RaftRole.LEADER:
         return
     match_indexes = [
-        raft.synced if name == raft.me else _match_index(raft, name)
+        raft.synced if name == raft.local_id else _match_index(raft, name)
         for name in raft.configuration.voter_names
     ]
     agreed = sorted(match_indexes, reverse=True)[raft.configuration.quorum - 1]
@@ -189,7 +189,7 @@
 
 def transfer(raft, now_s):
     """Transfer leadership to the voter with the most complete log."""
-    others = [n for n in raft.configuration.voter_names if n != raft.me]
+    others = [n for n in raft.configuration.voter_names if n != raft.local_id]
     if not others:
         return
     raft.transfer_to = max(
@@ -203,7 +203,7 @@
     if _match_index(raft, raft.transfer_to) < raft.log.last_index:
         return
     raft.messages.append(
-        TimeoutNow(term=raft.term, sender=raft.me, to=raft.transfer_to)
+        TimeoutNow(term=raft.term, sender=raft.local_id, to=raft.transfer_to)
     )
 
 
@@ -224,7 +224,7 @@
         return
     change = next_change(raft.configuration, _member_health(raft, now_s))
     if change is not None:
-        raft.set_change = change
+        raft.last_replica_set_change = change
         change_configuration(raft, change.configuration, now_s)
 
 
@@ -237,7 +237,7 @@
         if peer.acked_s > answered_since_s
     )
     return MemberHealth(
-        answering=answering | {raft.me},
+        answering=answering | {raft.local_id},
         silent=silent_members(raft, now_s),
         leaving=frozenset(
             name
@@ -255,7 +255,7 @@
 
 def _update_progress(raft, now_s):
     members = raft.configuration.member_names
-    peers = [name for name in members if name != raft.me]
+    peers = [name for name in members if name != raft.local_id]
     raft.progress = {
         name: raft.progress.get(name)
         or Progress(next_index=raft.log.last_index, now_s=now_s)
@@ -284,7 +284,7 @@
     raft.early.append(
         AppendRequest(
             term=raft.term,
-            sender=raft.me,
+            sender=raft.local_id,
             to=name,
             previous_index=previous,
             previous_term=previous_term,
@@ -310,7 +310,7 @@
     raft.early.append(
         SnapshotPiece(
             term=raft.term,
-            sender=raft.me,
+            sender=raft.local_id,
             to=name,
             index=snapshot.index,
             index_term=snapshot.term,
--- a/currantdeal/consensus/tests/builders.py
+++ b/currantdeal/consensus/tests/builders.py
@@ -92,7 +92,7 @@
 
     def _start(self, name, stored):
         return Node(
-            me=name,
+            local_id=name,
             settings=self.settings,
             stored=stored,
             random=random.Random(name),
--- a/currantdeal/consensus/tests/linearizability.py
+++ b/currantdeal/consensus/tests/linearizability.py
@@ -20,12 +20,12 @@
     call_s, return_s : float
         Real times between which the call took effect.  The return time of a
         call without an answer is infinite; such a call may never take effect.
-    ask, answer : object
+    request, answer : object
         Hashable request and answer; the answer is None if it is unknown.
     """
 
     call_s: float
-    ask: Any
+    request: Any
     answer: Any = None
     return_s: float = math.inf
 
@@ -52,7 +52,7 @@
             return True
         for position in _next_positions(history, done):
             op = history[position]
-            next_state, answer = step(state, op.ask)
+            next_state, answer = step(state, op.request)
             if op.answer is not None and op.answer != answer:
                 continue
             candidate = (done | 1 << position, next_state)
--- a/currantdeal/consensus/tests/mutations.py
+++ b/currantdeal/consensus/tests/mutations.py
@@ -249,22 +249,23 @@
     Mutation(
         title="an instance keeps its lease when it is cut off",
         path="adapters/replication/port.py",
-        old="        return max(0.0, self._board.lease_ends_s - self._now_s)",
-        new="        return 1.0 if self._board.lease_ends_s else 0.0",
+        old="        return max("
+        "0.0, self._view_store.lease_ends_s - self._now_s)",
+        new="        return 1.0 if self._view_store.lease_ends_s else 0.0",
         check=RUNTIME,
     ),
     Mutation(
         title="a view is shown before a leader vouched for it",
-        path="adapters/replication/board.py",
-        old="        self._floor = None",
-        new="        self._floor = 0",
+        path="adapters/replication/view_store.py",
+        old="        self._min_visible_version = None",
+        new="        self._min_visible_version = 0",
         check=RUNTIME,
     ),
     Mutation(
         title="a claim is granted a second time",
         path="state/claims.py",
         old="    if known is not None:\n"
-        "        return state, _meet_claim(known, command)\n",
+        "        return state, _resend_result(known, command)\n",
         new="",
         check=STATE,
     ),
--- a/currantdeal/consensus/tests/schedules.py
+++ b/currantdeal/consensus/tests/schedules.py
@@ -102,7 +102,7 @@
         self.leases = None
 
 
-class LeaseHolder:
+class SimulatedLeaseHolder:
     """An instance that uses its view of the state under a lease."""
 
     def __init__(self):
@@ -141,7 +141,9 @@
         self.max_lost_disks = count // 2
         self.isolated = set()
         self.in_flight = []
-        self.lease_holders = [LeaseHolder() for _ in range(LEASE_HOLDER_COUNT)]
+        self.lease_holders = [
+            SimulatedLeaseHolder() for _ in range(LEASE_HOLDER_COUNT)
+        ]
         self.processes = {}
         self.counts = dict.fromkeys(
             ("commits", "elections", "installs", "changes", "in_force"), 0
@@ -164,7 +166,7 @@
     def _start_replica(self, name):
         stored = self.disks[name].stored
         node = Node(
-            me=name,
+            local_id=name,
             settings=SETTINGS,
             stored=stored,
             random=random.Random(self.random.random()),
--- a/currantdeal/consensus/tests/test_node.py
+++ b/currantdeal/consensus/tests/test_node.py
@@ -171,10 +171,12 @@
     table = LeaseTable(lease_s=2.0, elected_s=100.0)
     assert not table.in_force(0, 101.9)
     assert table.remaining_s("i7", 101.0) > 1.0
-    assert [h.instance for h in table.holders(101.0, also=("i7",))] == ["i7"]
+    assert [
+        h.instance for h in table.holders(101.0, possible_holders=("i7",))
+    ] == ["i7"]
     assert table.in_force(0, 102.1)
     assert table.remaining_s("i7", 102.1) == 0.0
-    assert table.holders(102.1, also=("i7",)) == ()
+    assert table.holders(102.1, possible_holders=("i7",)) == ()
 
 
 def test_entry_of_an_earlier_term_is_not_committed_by_counting():
@@ -194,7 +196,7 @@
         entries=(old,),
     )
     node = Node(
-        me="i1",
+        local_id="i1",
         settings=NodeSettings(),
         stored=stored,
         random=random.Random(1),
@@ -241,7 +243,7 @@
         Entry(index=n, term=1, kind=EntryKind.COMMAND) for n in (1, 2, 3)
     )
     node = Node(
-        me="i1",
+        local_id="i1",
         settings=NodeSettings(),
         stored=Stored(
             term=1,
@@ -289,7 +291,7 @@
         ),
     )
     node = Node(
-        me="i1",
+        local_id="i1",
         settings=NodeSettings(),
         stored=stored,
         random=random.Random(1),
--- a/currantdeal/consensus/tests/test_replica_set.py
+++ b/currantdeal/consensus/tests/test_replica_set.py
@@ -3,7 +3,7 @@
     Configuration,
     MemberHealth,
     Replica,
-    may_give_way,
+    can_leave,
     next_change,
 )
 from currantdeal.consensus.tests.builders import NAMES, Cluster
@@ -209,9 +209,9 @@
     """
     health = _health("abc", leaving="c")
     assert next_change(_replica_set("abc"), health) is None
-    assert not may_give_way(_replica_set("abc"), "c")
-    assert may_give_way(_replica_set("abc", "d"), "c")
-    assert may_give_way(_replica_set("abcd"), "c")
+    assert not can_leave(_replica_set("abc"), "c")
+    assert can_leave(_replica_set("abc", "d"), "c")
+    assert can_leave(_replica_set("abcd"), "c")
 
 
 def test_silent_learner_is_removed():
--- a/currantdeal/control/config_access.py
+++ b/currantdeal/control/config_access.py
@@ -31,19 +31,19 @@
         The replica of this process.
     links : callable
         Returns the ``PeerLink`` to an address.
-    me : str
+    local_id : str
         Peer address of this instance.
     """
 
-    def __init__(self, *, replica, links, me):
+    def __init__(self, *, replica, links, local_id):
         """Use the replica and the links of this process."""
         self._replica = replica
         self._links = links
-        self._me = me
+        self._local_id = local_id
 
     async def propose(self, call):
         """Return whether a ``ProposeConfigCall`` was committed."""
-        if self._replica.leads:
+        if self._replica.is_leader:
             return await self.propose_as_leader(call)
         answer = await self._call_leader(call, PROPOSE_TIMEOUT_S)
         return answer is not None and answer.accepted
@@ -72,7 +72,7 @@
 
     async def read(self):
         """Return the newest configuration as a ``ConfigAnswer``."""
-        if self._replica.leads:
+        if self._replica.is_leader:
             return await self.read_as_leader()
         answer = await self._call_leader(ReadConfigCall(), READ_TIMEOUT_S)
         return answer or ConfigAnswer(certain=False)
@@ -92,7 +92,7 @@
 
     async def _call_leader(self, call, timeout_s):
         leader = self._replica.node.leader
-        if leader is None or leader == self._me:
+        if leader is None or leader == self._local_id:
             return None
         try:
             return await self._links(leader).call(call, timeout_s=timeout_s)
--- a/currantdeal/control/crash_ledger.py
+++ b/currantdeal/control/crash_replicator.py
@@ -30,7 +30,7 @@
 _log = structlog.get_logger(__name__)
 
 
-class CrashLedger:
+class CrashReplicator:
     """The crash records of one control instance.
 
     Parameters
@@ -62,7 +62,7 @@
 
     def load(self, records):
         """Merge the records that were saved before a restart."""
-        self._suspect_log.note(self._crash_registry.merge(records))
+        self._suspect_log.log_changes(self._crash_registry.merge(records))
 
     def receive(self, notice):
         """Merge the records of an entry or another instance and forward them.
@@ -76,7 +76,7 @@
         changed = self._crash_registry.merge(notice.records)
         if not changed:
             return
-        self._suspect_log.note(changed)
+        self._suspect_log.log_changes(changed)
         now_s = self._clock()
         for record in changed:
             self._recent[record.fingerprint] = (now_s, record)
@@ -105,7 +105,7 @@
         if previous_s is None or now_s - previous_s > SILENCE_TIMEOUT_S:
             notice = CrashesNotice(
                 records=self._crash_registry.records,
-                asked_by=self._exchange.me,
+                asked_by=self._exchange.local_id,
             )
             self._exchange.notify_one(sender, notice)
 
--- a/currantdeal/control/demand_book.py
+++ b/currantdeal/control/demand_tracker.py
@@ -13,7 +13,7 @@
 _log = structlog.get_logger(__name__)
 
 
-class DemandBook:
+class DemandTracker:
     """Demand by service, and the engine traits that convert it into load.
 
     Parameters
--- a/currantdeal/control/exchange.py
+++ b/currantdeal/control/exchange.py
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    me : ControlPlace
+    local_place : ControlPlace
         This instance.
     control : callable
         Returns the peer addresses of all control instances.
@@ -52,10 +52,12 @@
         Returns monotonic seconds.
     """
 
-    def __init__(self, *, me, control, voters, links, heartbeat_s, clock):
+    def __init__(
+        self, *, local_place, control, voters, links, heartbeat_s, clock
+    ):
         """Start with empty records."""
-        self.me = me.address
-        self._data_centers = {me.address: me.data_center}
+        self.local_id = local_place.address
+        self._data_centers = {local_place.address: local_place.data_center}
         self._control = control
         self._voters = voters
         self._links = links
@@ -168,8 +170,8 @@
             Demand of each service that entries reported to this instance.
         """
         notice = RenewalsNotice(
-            sender=self.me,
-            data_center=self._data_centers[self.me],
+            sender=self.local_id,
+            data_center=self._data_centers[self.local_id],
             demand=demand,
             upstreams=tuple(self._renewed_upstreams.values()),
             entries=tuple(self._renewed_entries.values()),
@@ -192,7 +194,7 @@
         answers = await asyncio.gather(
             *(self._request_confirmation(address, call) for address in others)
         )
-        confirmed = {self.me}
+        confirmed = {self.local_id}
         confirmed.update(itertools.compress(others, answers))
         voters = set(self._voters())
         return len(voters & confirmed) > len(voters) // 2
@@ -271,7 +273,9 @@
         task.add_done_callback(self._tasks.discard)
 
     def _other_addresses(self):
-        return [address for address in self._control() if address != self.me]
+        return [
+            address for address in self._control() if address != self.local_id
+        ]
 
     async def _request_confirmation(self, address, call):
         try:
--- a/currantdeal/control/membership.py
+++ b/currantdeal/control/membership.py
@@ -20,8 +20,8 @@
     NotLeaderError,
     RaftRole,
     Replica,
-    may_give_way,
-    takes_part,
+    can_leave,
+    is_active_member,
 )
 from currantdeal.node.errors import PeerUnreachableError
 from currantdeal.node.messages import Done, JoinCall, LeaveCall
@@ -49,25 +49,25 @@
 
     Parameters
     ----------
-    me : str
+    local_id : str
         Peer address of this instance.
     replica : currantdeal.control.replica.Replica
         The replica of this process.
     links : callable
         Returns the ``PeerLink`` to an address.
-    first_set : callable
+    initial_addresses : callable
         Returns the peer addresses of the first replica set, as the settings
         name them.
     clock : callable
         Returns monotonic seconds.
     """
 
-    def __init__(self, *, me, replica, links, first_set, clock):
-        """Send no request before ``step`` or ``leave``."""
-        self._me = me
+    def __init__(self, *, local_id, replica, links, initial_addresses, clock):
+        """Send no request before ``join_if_needed`` or ``leave``."""
+        self._local_id = local_id
         self._replica = replica
         self._links = links
-        self._first_set = first_set
+        self._initial_addresses = initial_addresses
         self._clock = clock
         self._last_leader_s = clock()
         self._unanswered_logged_s = clock()
@@ -78,15 +78,15 @@
         """Peer addresses of all known control instances."""
         members = self._replica.node.configuration.members
         found = tuple(member.address for member in members)
-        return found or self._first_set()
+        return found or self._initial_addresses()
 
     @property
     def voter_addresses(self):
         """Peer addresses of the voters of the replica set."""
         voters = self._replica.node.configuration.voters
-        return tuple(v.address for v in voters) or self._first_set()
+        return tuple(v.address for v in voters) or self._initial_addresses()
 
-    def begin(self, *, first_start):
+    def bootstrap(self, *, first_start):
         """Bootstrap the first replica set at the first start of a deployment.
 
         Parameters
@@ -95,30 +95,39 @@
             True if the settings mark this start as the first one.
         """
         node = self._replica.node
-        seeds = self._first_set()
-        if first_start and node.blank and node.is_fresh and self._me in seeds:
+        seeds = self._initial_addresses()
+        if (
+            first_start
+            and node.blank
+            and node.is_fresh
+            and self._local_id in seeds
+        ):
             voters = tuple(
                 Replica(instance=address, address=address)
                 for address in sorted(seeds)
             )
             self._replica.bootstrap(Configuration(voters=voters))
 
-    async def step(self):
+    async def join_if_needed(self):
         """Request to join, unless this instance is a member or is leaving."""
         node = self._replica.node
         now_s = self._clock()
         if node.leader is not None:
             self._last_leader_s = now_s
-        is_member = not node.blank and takes_part(
-            node.configuration, self._me, alone_s=now_s - self._last_leader_s
+        is_member = not node.blank and is_active_member(
+            node.configuration,
+            self._local_id,
+            leaderless_s=now_s - self._last_leader_s,
         )
         if self._is_leaving or is_member:
             return
-        call = JoinCall(instance=self._me, address=self._me, blank=node.blank)
-        known = (*self.control_addresses, *self._first_set())
+        call = JoinCall(
+            instance=self._local_id, address=self._local_id, blank=node.blank
+        )
+        known = (*self.control_addresses, *self._initial_addresses())
         answers = {}
         for address in dict.fromkeys(known):
-            if address == self._me:
+            if address == self._local_id:
                 continue
             try:
                 answer = await self._links(address).call(
@@ -157,7 +166,7 @@
         deadline_s = self._clock() + LEAVE_TIMEOUT_S
         while self._may_leave and self._clock() < deadline_s:
             if await self._request_leave():
-                _log.info("replica-left", replica=self._me)
+                _log.info("replica-left", replica=self._local_id)
                 return
             await asyncio.sleep(LEAVE_INTERVAL_S)
 
@@ -176,15 +185,15 @@
     @property
     def _may_leave(self):
         configuration = self._replica.node.configuration
-        return may_give_way(configuration, self._me)
+        return can_leave(configuration, self._local_id)
 
     async def _request_leave(self):
         leader = self._replica.node.leader
-        if leader is None or leader == self._me:
+        if leader is None or leader == self._local_id:
             return False
         try:
             answer = await self._links(leader).call(
-                LeaveCall(instance=self._me), timeout_s=JOIN_TIMEOUT_S
+                LeaveCall(instance=self._local_id), timeout_s=JOIN_TIMEOUT_S
             )
         except PeerUnreachableError:
             return False
@@ -204,7 +213,7 @@
 
     async def _forward(self, call):
         leader = self._replica.node.leader
-        if call.forwarded or leader is None or leader == self._me:
+        if call.forwarded or leader is None or leader == self._local_id:
             return Done(accepted=False)
         forwarded = JoinCall(
             instance=call.instance,
--- a/currantdeal/control/orders.py
+++ b/currantdeal/control/orders.py
@@ -96,49 +96,49 @@
 
     Parameters
     ----------
-    me : str
+    local_id : str
         Name of this instance as the holder in its orders.
     replica : Replica
         The replica of this process; only the leader sends orders.
     exchange : RecordExchange
         Records of the engines, and the way to notify the entries.
-    demand : DemandBook
+    demand : DemandTracker
         Demand of generations for each service.
     pool : ConnectionPool
         Connections to the engines.
     dialect : currantdeal.node.dialect.UpstreamDialect
         Format of orders.
-    pause_s : float
+    min_order_interval_s : float
         Agreed pause between the orders of two holders.
     clock : callable
         Returns monotonic seconds.
-    held : callable
+    held_tokens : callable
         Returns the tokens that entries hold at each engine, by its name.
     """
 
     def __init__(
         self,
         *,
-        me,
+        local_id,
         replica,
         exchange,
         demand,
         pool,
         dialect,
-        pause_s,
+        min_order_interval_s,
         clock,
-        held=dict,
+        held_tokens=dict,
     ):
         """Send no order before ``run``."""
-        self._me = me
+        self._local_id = local_id
         self._replica = replica
         self._exchange = exchange
         self._demand = demand
         self._pool = pool
         self._dialect = dialect
-        self._pause_s = pause_s + HANDOVER_MARGIN_S
+        self._pause_s = min_order_interval_s + HANDOVER_MARGIN_S
         self._clock = clock
-        self._held_tokens = held
+        self._held_tokens = held_tokens
         self._fenced_term = 0
         self._known_processes = set()
         self._quiet_until_s = clock() + QUIET_PERIOD_S
@@ -171,7 +171,7 @@
 
     def _may_order(self, now_s):
         node = self._replica.node
-        if not self._replica.leads or node.term == self._fenced_term:
+        if not self._replica.is_leader or node.term == self._fenced_term:
             return False
         if now_s - node.elected_s < self._pause_s:
             return False
@@ -273,7 +273,7 @@
         order = StageOrder(
             upstream=record.upstream,
             stage=stage,
-            holder=self._me,
+            holder=self._local_id,
             fencing_number=term,
         )
         call = self._dialect.change_stage(record.address, order)
--- a/currantdeal/control/replica.py
+++ b/currantdeal/control/replica.py
@@ -47,7 +47,7 @@
 
     Parameters
     ----------
-    me : InstanceId
+    local_id : InstanceId
         Name of the replica in the replica set: its peer address.
     folder : DataFolder
         Durable state of the replica.
@@ -64,7 +64,7 @@
     """
 
     def __init__(
-        self, *, me, folder, node_settings, random, clock, send, on_state
+        self, *, local_id, folder, node_settings, random, clock, send, on_state
     ):
         """Restore the state that is stored in the folder."""
         self._folder = folder
@@ -73,7 +73,7 @@
         self._on_state = on_state
         stored = folder.stored
         self.node = Node(
-            me=me,
+            local_id=local_id,
             settings=node_settings,
             stored=stored,
             random=random,
@@ -88,12 +88,12 @@
         self._disk = ThreadPoolExecutor(1, thread_name_prefix="disk")
 
     @property
-    def leads(self):
+    def is_leader(self):
         """True on a leader that has applied all earlier committed entries."""
         return self.node.is_ready
 
     @property
-    def knows_leader(self):
+    def has_leader(self):
         """True while this replica leads or is in contact with the leader."""
         return self.node.leader is not None and not self.node.blank
 
@@ -152,7 +152,7 @@
             If this replica is not the leader, or loses leadership before
             the quorum has answered.
         """
-        if not self.leads:
+        if not self.is_leader:
             raise NotCertainError("not the leader")
         future = asyncio.get_running_loop().create_future()
         self._pending_reads.append((self._clock(), future))
@@ -249,7 +249,7 @@
         self._watch.log_changes(self.node)
 
     def _complete_reads(self):
-        if not self.leads:
+        if not self.is_leader:
             self._fail_reads("leadership was lost")
             return
         acked_s = self.node.quorum_acked_s(self._clock())
--- a/currantdeal/control/replica_watch.py
+++ b/currantdeal/control/replica_watch.py
@@ -28,7 +28,7 @@
         self._clock = clock
         self._leader = None
         self._replica_set = None
-        self._set_change = None
+        self._last_replica_set_change = None
         self._last_leader_s = clock()
         self._last_logged_s = self._last_leader_s
         self._most_votes = ()
@@ -41,7 +41,7 @@
         if replica_set != self._replica_set:
             self._replica_set = replica_set
             self._log_replica_set(node)
-        if node.set_change is not self._set_change:
+        if node.last_replica_set_change is not self._last_replica_set_change:
             self._log_set_change(node)
         if node.leader is not None:
             self._last_leader_s = self._last_logged_s = self._clock()
@@ -68,12 +68,12 @@
         )
 
     def _log_set_change(self, node):
-        self._set_change = node.set_change
+        self._last_replica_set_change = node.last_replica_set_change
         _log.info(
             "replica-set-adapted",
-            replica=node.set_change.replica,
-            reason=node.set_change.reason.value,
-            **_replica_set(node.set_change.configuration),
+            replica=node.last_replica_set_change.replica,
+            reason=node.last_replica_set_change.reason.value,
+            **_replica_set(node.last_replica_set_change.configuration),
         )
 
     def _log_no_leader(self, node):
--- a/currantdeal/control/service.py
+++ b/currantdeal/control/service.py
@@ -12,10 +12,10 @@
 from currantdeal.core.errors import DialectError
 from currantdeal.node.dialect import (
     Announce,
-    AskReady,
-    FindEntries,
+    CheckReadiness,
     GetConfig,
     Leave,
+    LookUpEntries,
     PutConfig,
 )
 from currantdeal.node.messages import (
@@ -74,9 +74,9 @@
         Changes and reads the configuration.
     exchange : RecordExchange
         The records of upstreams and entries.
-    demand : DemandBook
+    demand : DemandTracker
         Demand that entries measure.
-    crashes : CrashLedger
+    crashes : CrashReplicator
         Records of requests that crash upstreams.
     clock : callable
         Returns monotonic seconds.
@@ -111,9 +111,9 @@
         self._last_load_s = 0.0
 
     @property
-    def current(self):
+    def has_leader(self):
         """True while this instance leads or is in contact with the leader."""
-        return self._replica.knows_leader
+        return self._replica.has_leader
 
     @property
     def sizes(self):
@@ -165,11 +165,11 @@
         self._loads.remove_entry(connection)
 
     @property
-    def held(self):
+    def held_tokens(self):
         """Tokens that entries hold at each engine, by its name."""
         return self._loads.total(now_s=self._clock()).held
 
-    def tell_loads(self):
+    def publish_loads(self):
         """Publish the tokens that entries hold at engines.
 
         The other control instances receive the sum over the entries that
@@ -189,7 +189,7 @@
         total = self._loads.total(now_s=now_s)
         self._exchange.publish(self._load_notice(total))
 
-    def beat(self):
+    def send_heartbeat(self):
         """Send the periodic notices and expire silent records."""
         self._notify_subscribers()
         self._exchange.spread_renewals(self._demand.take_reported())
@@ -197,7 +197,7 @@
         self._exchange.expire()
 
     def _load_notice(self, load):
-        return LoadNotice(sender=self._exchange.me, load=load)
+        return LoadNotice(sender=self._exchange.local_id, load=load)
 
     def _record_load(self, connection, message):
         now_s = self._clock()
@@ -250,16 +250,16 @@
         raise TypeError(f"not an operation: {operation!r}")
 
     @_handle_operation.register
-    async def _(self, operation: AskReady, request, responder):
+    async def _(self, operation: CheckReadiness, request, responder):
         self._answer(responder, 200, "ready")
 
     @_handle_operation.register
-    async def _(self, operation: FindEntries, request, responder):
+    async def _(self, operation: LookUpEntries, request, responder):
         addresses = self._exchange.directory.choose(
             operation.region,
             operation.data_center,
             now_s=self._clock(),
-            current=self.current,
+            current=self.has_leader,
         )
         if not addresses:
             self._answer(responder, 503, "no entry is known yet")
@@ -361,7 +361,7 @@
 
     @_handle_call.register
     async def _(self, call: SubscribeCall, connection):
-        if not (self.current or call.provisional):
+        if not (self.has_leader or call.provisional):
             # During a partition between control instances, entries try each
             # of them in turn.  Sending all records each time would saturate
             # the links.
@@ -380,7 +380,7 @@
         connection.notify(
             UpstreamsNotice(
                 upstreams=self._exchange.registry.records,
-                complete=self._registry_is_complete and self.current,
+                complete=self._registry_is_complete and self.has_leader,
             )
         )
         newer = self._replica.state.version > call.config_version
@@ -391,7 +391,7 @@
     def _notify_subscribers(self):
         live = self._exchange.directory.live(now_s=self._clock())
         notice = SourceNotice(
-            current=self.current,
+            current=self.has_leader,
             control=self._exchange.places,
             entries=max(1, len(live)),
         )
--- a/currantdeal/control/tests/builders.py
+++ b/currantdeal/control/tests/builders.py
@@ -55,7 +55,7 @@
         loop = asyncio.get_running_loop()
         options = {"sync": sync} if sync else {}
         replica = Replica(
-            me=name,
+            local_id=name,
             folder=DataFolder(path=self._folder / name, **options),
             node_settings=FAST,
             random=random.Random(name),
@@ -68,10 +68,10 @@
             replica.bootstrap(Configuration(voters=tuple(members)))
         self.replicas[name] = replica
         self.memberships[name] = Membership(
-            me=name,
+            local_id=name,
             replica=replica,
             links=lambda to: _MembershipLink(group=self, to=to),
-            first_set=lambda: self.names,
+            initial_addresses=lambda: self.names,
             clock=loop.time,
         )
         self._tasks[name] = asyncio.ensure_future(replica.run())
@@ -100,7 +100,7 @@
             while True:
                 for name, replica in self.replicas.items():
                     wanted = among is None or name in among
-                    if wanted and replica.leads:
+                    if wanted and replica.is_leader:
                         return replica
                 await asyncio.sleep(0.01)
 
--- a/currantdeal/control/tests/test_crash_ledger.py
+++ b/currantdeal/control/tests/test_crash_replicator.py
@@ -1,7 +1,7 @@
-from currantdeal.control.crash_ledger import (
+from currantdeal.control.crash_replicator import (
     REPEAT_PERIOD_S,
     SILENCE_TIMEOUT_S,
-    CrashLedger,
+    CrashReplicator,
 )
 from currantdeal.node.messages import CrashesNotice
 from currantdeal.policy.crash_registry import Crash, SuspectRecord
@@ -20,52 +20,52 @@
     def __init__(self, *names):
         self.now_s = 0.0
         self.partitioned = set()
-        self.ledgers = {}
+        self.replicators = {}
         self.entries = {name: [] for name in names}
         for name in names:
             self.start(name)
 
     def start(self, name):
-        self.ledgers[name] = CrashLedger(
-            exchange=_Exchange(net=self, me=name),
+        self.replicators[name] = CrashReplicator(
+            exchange=_Exchange(net=self, local_id=name),
             clock=lambda: self.now_s,
         )
 
     def send(self, sender, receiver, notice):
         if frozenset((sender, receiver)) not in self.partitioned:
-            self.ledgers[receiver].receive(notice)
+            self.replicators[receiver].receive(notice)
 
     def beat(self, seconds=0.5):
         """Advance time; reachable instances receive each other's heartbeat."""
         self.now_s += seconds
-        for name, ledger in self.ledgers.items():
-            ledger.repeat_recent()
-            for other in self.ledgers:
+        for name, replicator in self.replicators.items():
+            replicator.repeat_recent()
+            for other in self.replicators:
                 if (
                     other != name
                     and frozenset((name, other)) not in self.partitioned
                 ):
-                    self.ledgers[other].on_heartbeat(name)
+                    self.replicators[other].on_heartbeat(name)
 
     def quarantines(self, name):
-        return self.ledgers[name].quarantined == {FINGERPRINT}
+        return self.replicators[name].quarantined == {FINGERPRINT}
 
 
 class _Exchange:
-    def __init__(self, *, net, me):
+    def __init__(self, *, net, local_id):
         self._net = net
-        self.me = me
+        self.local_id = local_id
 
     def publish(self, notice):
-        self._net.entries[self.me].append(notice)
+        self._net.entries[self.local_id].append(notice)
 
     def notify_others(self, notice):
-        for name in self._net.ledgers:
-            if name != self.me:
+        for name in self._net.replicators:
+            if name != self.local_id:
                 self.notify_one(name, notice)
 
     def notify_one(self, name, notice):
-        self._net.send(self.me, name, notice)
+        self._net.send(self.local_id, name, notice)
 
 
 class _Entry:
@@ -83,9 +83,11 @@
     request.
     """
     net = _Network("c1", "c2", "c3")
-    for number, name in enumerate(net.ledgers):
-        net.ledgers[name].receive(CrashesNotice(records=(_record(number),)))
-    assert all(net.quarantines(name) for name in net.ledgers)
+    for number, name in enumerate(net.replicators):
+        net.replicators[name].receive(
+            CrashesNotice(records=(_record(number),))
+        )
+    assert all(net.quarantines(name) for name in net.replicators)
     assert all(len(notices) == 3 for notices in net.entries.values())
 
 
@@ -96,7 +98,7 @@
     """
     net = _Network("c1", "c2", "c3")
     net.partitioned.add(frozenset(("c1", "c3")))
-    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.replicators["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
     assert net.quarantines("c3")
 
 
@@ -108,7 +110,7 @@
     net = _Network("c1", "c2", "c3")
     net.beat()
     net.partitioned.update({frozenset(("c1", "c3")), frozenset(("c2", "c3"))})
-    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.replicators["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
     for _ in range(int(2 * (REPEAT_PERIOD_S + SILENCE_TIMEOUT_S) / 0.5)):
         net.beat()
     assert not net.quarantines("c3")
@@ -123,7 +125,7 @@
     It restarts empty long after the others stopped sending the change again.
     """
     net = _Network("c1", "c2", "c3")
-    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.replicators["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
     net.beat()
     net.now_s += 10 * REPEAT_PERIOD_S
     net.beat()
@@ -138,7 +140,7 @@
     net = _Network("c1", "c2")
     net.beat()
     net.partitioned.add(frozenset(("c1", "c2")))
-    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.replicators["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
     net.partitioned.clear()
     net.beat()
     assert net.quarantines("c2")
@@ -148,13 +150,13 @@
     """Guards against traffic that grows with the number of all crashes."""
     net = _Network("c1")
     sent = []
-    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.replicators["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
     net.now_s += REPEAT_PERIOD_S + 0.1
-    net.ledgers["c2"] = CrashLedger(
-        exchange=_Exchange(net=net, me="c2"), clock=lambda: net.now_s
+    net.replicators["c2"] = CrashReplicator(
+        exchange=_Exchange(net=net, local_id="c2"), clock=lambda: net.now_s
     )
     net.send = lambda sender, receiver, notice: sent.append(notice)
-    net.ledgers["c1"].repeat_recent()
+    net.replicators["c1"].repeat_recent()
     assert sent == []
 
 
@@ -162,10 +164,10 @@
     """Guards against a starting entry that runs a quarantined request."""
     net = _Network("c1")
     entry = _Entry()
-    net.ledgers["c1"].send_all(entry)
+    net.replicators["c1"].send_all(entry)
     assert entry.notices == []
-    net.ledgers["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
-    net.ledgers["c1"].send_all(entry)
+    net.replicators["c1"].receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    net.replicators["c1"].send_all(entry)
     (notice,) = entry.notices
     assert len(notice.records[0].crashes) == 3
 
@@ -176,16 +178,17 @@
     Every changed set of records is saved, an unchanged one is not.
     """
     saved = []
-    ledger = CrashLedger(
-        exchange=_Exchange(net=_Network("c1"), me="c1"),
+    replicator = CrashReplicator(
+        exchange=_Exchange(net=_Network("c1"), local_id="c1"),
         clock=lambda: 0.0,
         on_change=saved.append,
     )
-    ledger.receive(CrashesNotice(records=(_record(1, 2, 3),)))
-    ledger.receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    replicator.receive(CrashesNotice(records=(_record(1, 2, 3),)))
+    replicator.receive(CrashesNotice(records=(_record(1, 2, 3),)))
     (records,) = saved
-    again = CrashLedger(
-        exchange=_Exchange(net=_Network("c1"), me="c1"), clock=lambda: 0.0
+    again = CrashReplicator(
+        exchange=_Exchange(net=_Network("c1"), local_id="c1"),
+        clock=lambda: 0.0,
     )
     again.load(records)
     assert again.quarantined == {FINGERPRINT}
--- a/currantdeal/control/tests/test_exchange.py
+++ b/currantdeal/control/tests/test_exchange.py
@@ -29,9 +29,9 @@
         raise PeerUnreachableError("no answer")
 
 
-def _an_exchange(*, me="c1", voters=("c1", "c2"), learners=(), links):
+def _an_exchange(*, local_id="c1", voters=("c1", "c2"), learners=(), links):
     return RecordExchange(
-        me=ControlPlace(address=me, data_center="dc1"),
+        local_place=ControlPlace(address=local_id, data_center="dc1"),
         control=lambda: (*voters, *learners),
         voters=lambda: voters,
         links=links,
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(
-    ("me", "silent", "confirmed"),
+    ("local_id", "silent", "confirmed"),
     [
         ("c1", {"c3", "c4"}, True),
         ("c1", {"c4"}, True),
@@ -86,7 +86,7 @@
     ],
 )
 def test_a_leave_is_confirmed_by_a_majority_of_the_voters(
-    me, silent, confirmed
+    local_id, silent, confirmed
 ):
     """A control instance has failed, and its successor is still starting.
 
@@ -96,7 +96,7 @@
     """
     links = {name: _UnreachableLink() for name in silent}
     exchange = _an_exchange(
-        me=me,
+        local_id=local_id,
         voters=("c1", "c2", "c3"),
         learners=("c4",),
         links=lambda address: links.setdefault(address, _Link()),
--- a/currantdeal/control/tests/test_membership.py
+++ b/currantdeal/control/tests/test_membership.py
@@ -23,7 +23,7 @@
     group.start(name)
     leader = await group.leader()
     while leader.node.configuration.learner_names != (name,):
-        await group.memberships[name].step()
+        await group.memberships[name].join_if_needed()
         await asyncio.sleep(0.05)
     await _until(lambda: not group.replicas[name].node.blank)
     return leader
@@ -92,7 +92,7 @@
         stopping = await _a_follower(group)
         await _leave(group, stopping, leader)
         for _ in range(5):
-            await group.memberships[stopping].step()
+            await group.memberships[stopping].join_if_needed()
             await asyncio.sleep(0.1)
         return stopping, leader.node.configuration
 
--- a/currantdeal/control/tests/test_orders.py
+++ b/currantdeal/control/tests/test_orders.py
@@ -17,7 +17,7 @@
     """A leader, as far as ``StageOrders`` uses it."""
 
     def __init__(self, *, certain=True):
-        self.leads = True
+        self.is_leader = True
         self.node = SimpleNamespace(term=7, elected_s=0.0)
         self._certain = certain
 
@@ -94,13 +94,13 @@
         )
         now = {"s": 0.0}
         orders = StageOrders(
-            me="control-1",
+            local_id="control-1",
             replica=replica or _Replica(),
             exchange=service,
             demand=service,
             pool=ConnectionPool(),
             dialect=PlatformCalls(),
-            pause_s=PAUSE_S,
+            min_order_interval_s=PAUSE_S,
             clock=lambda: now["s"],
         )
         for now_s in at:
@@ -108,7 +108,7 @@
             if changes and now_s in changes:
                 service.change(*changes[now_s])
             await orders._step()
-        return [r for s in standins for r in s.seen], service
+        return [r for s in standins for r in s.requests], service
 
     return asyncio.run(run())
 
--- a/currantdeal/control/tests/test_replica_watch.py
+++ b/currantdeal/control/tests/test_replica_watch.py
@@ -35,7 +35,7 @@
         index=0, term=0, configuration=Configuration(voters=voters)
     )
     return Node(
-        me="c1",
+        local_id="c1",
         settings=NodeSettings(),
         stored=Stored(snapshot=first),
         random=random.Random(1),
--- a/currantdeal/core/__init__.py
+++ b/currantdeal/core/__init__.py
@@ -16,7 +16,7 @@
     UpstreamCrashedError,
     UpstreamError,
     UpstreamRefusedError,
-    UpstreamSilentError,
+    UpstreamTimeoutError,
     UpstreamUnreachableError,
 )
 from currantdeal.core.ids import (
@@ -81,7 +81,7 @@
     "UpstreamId",
     "UpstreamKind",
     "UpstreamRefusedError",
-    "UpstreamSilentError",
+    "UpstreamTimeoutError",
     "UpstreamUnreachableError",
     "Work",
     "WorkKind",
--- a/currantdeal/core/errors.py
+++ b/currantdeal/core/errors.py
@@ -47,11 +47,11 @@
     """No connection to the upstream could be opened."""
 
 
-class UpstreamSilentError(UpstreamError):
+class UpstreamTimeoutError(UpstreamError):
     """An open connection received nothing for longer than the time limit."""
 
 
-class UpstreamCrashedError(UpstreamSilentError):
+class UpstreamCrashedError(UpstreamTimeoutError):
     """The upstream's process ended while it was running the request."""
 
 
--- a/currantdeal/entry/crash_watch.py
+++ b/currantdeal/entry/crash_watch.py
@@ -10,7 +10,7 @@
 import structlog
 
 from currantdeal.node.errors import ConnectError, ConnectRefusedError
-from currantdeal.node.fingerprint import shown
+from currantdeal.node.fingerprint import fingerprint_prefix
 from currantdeal.node.suspect_log import SuspectLog
 from currantdeal.policy.crash_registry import (
     EARLY_WEIGHT,
@@ -136,7 +136,7 @@
 
     def merge(self, records):
         """Merge ``SuspectRecord`` of other processes."""
-        self._suspect_log.note(self._crash_registry.merge(records))
+        self._suspect_log.log_changes(self._crash_registry.merge(records))
 
     async def _record_lost_run(self, active, record, phase, events, crash):
         crashed = await self._has_ended(record)
@@ -144,7 +144,7 @@
         _log.info(
             "run-lost",
             request=active.call.request_id,
-            fingerprint=shown(active.fingerprint),
+            fingerprint=fingerprint_prefix(active.fingerprint),
             sender=active.request.sender,
             upstream=record.upstream,
             started=record.started_ms,
@@ -158,7 +158,7 @@
             )
 
     def _log_and_publish(self, changed):
-        self._suspect_log.note(changed)
+        self._suspect_log.log_changes(changed)
         if changed:
             self.publish(changed)
 
@@ -186,5 +186,5 @@
             # It may only be partitioned from here.  Failed connections are
             # logged where a request needs one.
             return False
-        self._pool.put_back(connection)
+        self._pool.release(connection)
         return False
--- a/currantdeal/entry/generation.py
+++ b/currantdeal/entry/generation.py
@@ -19,14 +19,14 @@
 from currantdeal.entry.prefill import prefill_prompt, release_kv_cache
 from currantdeal.entry.relay import EventRelay
 from currantdeal.entry.steps import StepKind
-from currantdeal.node.dialect import Directions
+from currantdeal.node.dialect import ForwardingOptions
 from currantdeal.node.errors import (
-    BrokenAnswerError,
     ConnectError,
     ExchangeError,
-    SilentUpstreamError,
+    InvalidResponseError,
+    ResponseTimeoutError,
 )
-from currantdeal.node.fingerprint import shown
+from currantdeal.node.fingerprint import fingerprint_prefix
 from currantdeal.policy.reset_outcome import ExchangePhase, reset_outcome
 from currantdeal.policy.retry_after import RefusalReason
 from currantdeal.policy.retry_detection import (
@@ -225,7 +225,9 @@
         if self._active.runs:
             raise FailedError(self._reason)
         if self._context.crash_watch.is_quarantined(self._active):
-            raise QuarantinedError(shown(self._active.fingerprint))
+            raise QuarantinedError(
+                fingerprint_prefix(self._active.fingerprint)
+            )
         raise RefusedError(self._reason, refusal_reason=RefusalReason.MEMORY)
 
     async def _reserve(self):
@@ -248,7 +250,7 @@
         context, active = self._context, self._active
         record = reservation.record
         self._events_before_run = self._relay.events
-        directions = Directions(
+        options = ForwardingOptions(
             upstream=record.upstream,
             time_left_s=active.time_left_s(self._now_s),
             kv_source=prefill.source if prefill else "",
@@ -256,10 +258,10 @@
             resume_after=self._relay.last_id or active.call.resume_after,
         )
         call = context.dialect.outgoing(
-            active.request.head, active.request.body, directions
+            active.request.head, active.request.body, options
         )
         try:
-            connection = await context.pool.take(record.address)
+            connection = await context.pool.acquire(record.address)
         except ConnectError as exc:
             self._reason = str(exc)
             self._unused_prefill = prefill
@@ -274,14 +276,14 @@
             return False
         finally:
             context.health.request_ended(record.upstream)
-            context.pool.put_back(connection)
+            context.pool.release(connection)
 
     async def _stream(self, connection, record):
         context, active = self._context, self._active
         head = await self._wait_or_fail_over(connection.head(), record)
-        traits = context.dialect.read_reply(head)
-        context.view.drop_if_replaced(record, traits.answered_by)
-        if traits.not_run:
+        metadata = context.dialect.read_response(head)
+        context.view.drop_if_replaced(record, metadata.answered_by)
+        if metadata.not_run:
             await connection.rest(limit=1 << 20)
             # It granted memory and then refused the request, for example
             # because it changes its stage.  A retry there would waste
@@ -291,8 +293,8 @@
             active.add_step(StepKind.REFUSED, record.upstream, head.status)
             return False
         active.runs += 1
-        mismatched = traits.request_id not in ("", active.call.request_id)
-        if mismatched or not traits.genuine:
+        mismatched = metadata.request_id not in ("", active.call.request_id)
+        if mismatched or not metadata.is_signed:
             self._reason = "not an answer to this request"
             active.add_step(StepKind.ERROR, record.upstream, self._reason)
             connection.close()
@@ -338,7 +340,7 @@
 
         Raises
         ------
-        SilentUpstreamError
+        ResponseTimeoutError
             If another engine is to resume the stream.
         """
         active = self._active
@@ -356,7 +358,7 @@
                     return task.result()
                 self._next_reservation = await self._reserve_elsewhere(record)
                 if self._next_reservation is not None and not task.done():
-                    raise SilentUpstreamError(
+                    raise ResponseTimeoutError(
                         "no event", phase=ExchangePhase.BETWEEN_EVENTS
                     )
         finally:
@@ -376,7 +378,7 @@
             active.runs = max(active.runs, 1)
         self._relay.drop_partial_event()
         self._reason = str(exc)
-        if isinstance(exc, BrokenAnswerError):
+        if isinstance(exc, InvalidResponseError):
             events = self._relay.events - self._events_before_run
             self._context.crash_watch.note_lost_run(
                 active, record, phase, events=events
--- a/currantdeal/entry/memory.py
+++ b/currantdeal/entry/memory.py
@@ -156,7 +156,7 @@
         """Eject an engine that is unreachable or lost its connection."""
         context = self._context
         context.eject(record, context.health)
-        context.pool.forget(record.address)
+        context.pool.close_idle(record.address)
         self._active.add_failure_step(record.upstream, exc)
 
     async def _reserve_at(self, record):
@@ -175,13 +175,13 @@
                 record.address,
                 call,
                 timeout_s=RESERVE_TIMEOUT_S,
-                harmless=True,
+                retryable=True,
             )
         except ExchangeError as exc:
             self.note_unreachable(record, exc)
             return None
-        traits = context.dialect.read_reply(head)
-        context.view.drop_if_replaced(record, traits.answered_by)
+        metadata = context.dialect.read_response(head)
+        context.view.drop_if_replaced(record, metadata.answered_by)
         accepts_work = context.view.accepts_work(record.upstream)
         if head.status != 200:
             self._active.search.refused += 1
--- a/currantdeal/entry/plain.py
+++ b/currantdeal/entry/plain.py
@@ -16,14 +16,14 @@
 )
 from currantdeal.entry.steps import StepKind
 from currantdeal.node.connection_pool import exchange
-from currantdeal.node.dialect import Directions
+from currantdeal.node.dialect import ForwardingOptions
 from currantdeal.node.errors import (
-    BrokenAnswerError,
     ConnectError,
     ExchangeError,
-    SilentUpstreamError,
+    InvalidResponseError,
+    ResponseTimeoutError,
 )
-from currantdeal.node.fingerprint import shown
+from currantdeal.node.fingerprint import fingerprint_prefix
 from currantdeal.policy.reset_outcome import reset_outcome
 from currantdeal.policy.retry_after import RefusalReason
 from currantdeal.policy.upstream_health import order_upstreams
@@ -121,11 +121,11 @@
 
 async def _attempt(context, active, record):
     now_s = context.now_s
-    directions = Directions(
+    options = ForwardingOptions(
         upstream=record.upstream, time_left_s=active.time_left_s(now_s)
     )
     outgoing = context.dialect.outgoing(
-        active.request.head, active.request.body, directions
+        active.request.head, active.request.body, options
     )
     context.health.request_started(record.upstream)
     try:
@@ -150,35 +150,35 @@
     outcome = reset_outcome(active.kind, exc.phase)
     if outcome.ran is not Ran.NO:
         active.runs += 1
-    silent = isinstance(exc, (ConnectError, SilentUpstreamError))
+    silent = isinstance(exc, (ConnectError, ResponseTimeoutError))
     if silent:
         context.eject(record, context.health)
-        context.pool.forget(record.address)
+        context.pool.close_idle(record.address)
     else:
         context.health.record_answer(record.upstream, error=True)
-    if isinstance(exc, BrokenAnswerError):
+    if isinstance(exc, InvalidResponseError):
         context.crash_watch.note_lost_run(active, record, exc.phase)
     active.add_failure_step(record.upstream, exc)
     return _AttemptResult(retryable=outcome.retryable_by_entry)
 
 
 def _handle_answer(context, active, record, head, body):
-    traits = context.dialect.read_reply(head)
-    context.view.drop_if_replaced(record, traits.answered_by)
-    if traits.load is not None:
+    metadata = context.dialect.read_response(head)
+    context.view.drop_if_replaced(record, metadata.answered_by)
+    if metadata.load is not None:
         context.health.record_load(
             record.upstream,
-            traits.load.running + traits.load.waiting,
+            metadata.load.running + metadata.load.waiting,
             now_s=context.now_s,
         )
-    if traits.not_run:
+    if metadata.not_run:
         context.health.record_answer(record.upstream, error=False)
         active.add_step(StepKind.REFUSED, record.upstream, head.status)
         return _AttemptResult(retryable=True)
     active.runs += 1
     retryable = active.route.retry_safety is RetrySafety.FREELY
-    mismatched = traits.request_id not in ("", active.call.request_id)
-    if mismatched or not traits.genuine:
+    mismatched = metadata.request_id not in ("", active.call.request_id)
+    if mismatched or not metadata.is_signed:
         context.health.record_answer(record.upstream, error=True)
         active.add_step(StepKind.ERROR, record.upstream, "not its answer")
         return _AttemptResult(retryable=retryable)
@@ -196,7 +196,7 @@
 
 
 def _forward(context, active, answer):
-    headers = context.dialect.reply_headers(answer.head)
+    headers = context.dialect.response_headers(answer.head)
     active.note_output(context.now_s)
     active.responder.answer(answer.head.status, headers, answer.body)
 
@@ -206,7 +206,7 @@
         _forward(context, active, last)
         return
     if active.runs == 0 and context.crash_watch.is_quarantined(active):
-        raise QuarantinedError(shown(active.fingerprint))
+        raise QuarantinedError(fingerprint_prefix(active.fingerprint))
     if active.runs == 0:
         raise RefusedError(
             "no upstream took it", refusal_reason=RefusalReason.UPSTREAMS
--- a/currantdeal/entry/prefill.py
+++ b/currantdeal/entry/prefill.py
@@ -13,8 +13,8 @@
 from currantdeal.entry.releases import release
 from currantdeal.entry.steps import StepKind, kind_of_failure
 from currantdeal.node.connection_pool import exchange
-from currantdeal.node.dialect import Directions
-from currantdeal.node.errors import BrokenAnswerError, ExchangeError
+from currantdeal.node.dialect import ForwardingOptions
+from currantdeal.node.errors import ExchangeError, InvalidResponseError
 from currantdeal.policy.prefill_choice import (
     estimate_prefill,
     local_prefill_s,
@@ -201,7 +201,7 @@
         )
     except ExchangeError as exc:
         _handle_failed_prefill(context, record, exc, began_s)
-        if isinstance(exc, BrokenAnswerError):
+        if isinstance(exc, InvalidResponseError):
             context.crash_watch.note_lost_run(active, record, exc.phase)
         active.add_failure_step(record.upstream, exc)
         raise PrefillFailedError(str(exc), maybe_running=exc.sent) from exc
@@ -227,7 +227,7 @@
     if kind is StepKind.UNREACHABLE:
         context.eject(record, context.prefill_health)
     elif context.prefill_health.last_answer_s(record.upstream) <= since_s:
-        context.pool.forget(record.address)
+        context.pool.close_idle(record.address)
         context.prefill_health.record_timeout(
             record.upstream, now_s=context.now_s
         )
@@ -241,29 +241,29 @@
         time_left_s=_time_left_s(context, active, in_time),
     )
     left_s = min(timeout_s, active.time_left_s(context.now_s))
-    directions = Directions(
+    options = ForwardingOptions(
         upstream=record.upstream,
         time_left_s=left_s,
         prefill_only=True,
     )
     call = context.dialect.outgoing(
-        active.request.head, active.request.body, directions
+        active.request.head, active.request.body, options
     )
     return await exchange(
-        context.pool, record.address, call, timeout_s=left_s, harmless=True
+        context.pool, record.address, call, timeout_s=left_s, retryable=True
     )
 
 
 def _parse_answer(context, active, record, head, body):
-    traits = context.dialect.read_reply(head)
-    context.view.drop_if_replaced(record, traits.answered_by)
+    metadata = context.dialect.read_response(head)
+    context.view.drop_if_replaced(record, metadata.answered_by)
     if head.status != 200:
         # It is changing its stage or leaving; a retry would be refused
         # again.
         context.eject(record, context.prefill_health)
         active.add_step(StepKind.REFUSED, record.upstream, head.status)
         raise PrefillFailedError(
-            f"refused with {head.status}", maybe_running=not traits.not_run
+            f"refused with {head.status}", maybe_running=not metadata.not_run
         )
     context.prefill_health.record_answer(
         record.upstream, error=False, now_s=context.now_s
--- a/currantdeal/entry/probing.py
+++ b/currantdeal/entry/probing.py
@@ -102,12 +102,12 @@
                 record.address,
                 call,
                 timeout_s=PROBE_TIMEOUT_S,
-                harmless=True,
+                retryable=True,
             )
         except ExchangeError:
             # The backoff grows.  The failure was logged when the upstream
             # was ejected.
             return False
-        traits = self._dialect.read_reply(head)
-        self._view.drop_if_replaced(record, traits.answered_by)
+        metadata = self._dialect.read_response(head)
+        self._view.drop_if_replaced(record, metadata.answered_by)
         return True
--- a/currantdeal/entry/relay.py
+++ b/currantdeal/entry/relay.py
@@ -45,7 +45,7 @@
 
         Parameters
         ----------
-        head : ReplyHead
+        head : ResponseHead
             Head of the run's answer.
         next_chunk : callable
             Coroutine function that returns bytes, or None at the end.
@@ -64,7 +64,7 @@
         """Forward an error; returns False if the answer has started."""
         if self._started:
             return False
-        headers = self._context.dialect.reply_headers(head)
+        headers = self._context.dialect.response_headers(head)
         self._active.responder.answer(head.status, headers, body)
         self._started = True
         return True
@@ -95,5 +95,5 @@
 
     def _begin(self, head):
         self._started = True
-        headers = self._context.dialect.reply_headers(head)
+        headers = self._context.dialect.response_headers(head)
         self._active.responder.begin(head.status, headers)
--- a/currantdeal/entry/releases.py
+++ b/currantdeal/entry/releases.py
@@ -23,7 +23,7 @@
             address,
             call,
             timeout_s=RELEASE_TIMEOUT_S,
-            harmless=True,
+            retryable=True,
         )
     except ExchangeError as exc:
         # The reservation expires at the engine.
--- a/currantdeal/entry/service.py
+++ b/currantdeal/entry/service.py
@@ -15,7 +15,7 @@
 from currantdeal.entry.generation import serve_generation
 from currantdeal.entry.plain import serve_plain
 from currantdeal.node.dialect import CallerRequest
-from currantdeal.node.fingerprint import shown
+from currantdeal.node.fingerprint import fingerprint_prefix
 from currantdeal.policy.retry_after import RefusalReason, choose_retry_after_s
 
 ANSWER_MARGIN_S = 0.03
@@ -129,7 +129,7 @@
 
     async def _dispatch(self, active):
         if self._context.crash_watch.is_quarantined(active):
-            raise QuarantinedError(shown(active.fingerprint))
+            raise QuarantinedError(fingerprint_prefix(active.fingerprint))
         if not active.is_generation:
             await serve_plain(self._context, active)
             return
--- a/currantdeal/entry/steps.py
+++ b/currantdeal/entry/steps.py
@@ -10,7 +10,7 @@
 from currantdeal.node.errors import (
     ConnectError,
     ExchangeError,
-    SilentUpstreamError,
+    ResponseTimeoutError,
 )
 
 
@@ -123,5 +123,5 @@
 
 
 @kind_of_failure.register
-def _(exc: SilentUpstreamError):
+def _(exc: ResponseTimeoutError):
     return StepKind.SILENT
--- a/currantdeal/entry/tests/test_generation.py
+++ b/currantdeal/entry/tests/test_generation.py
@@ -16,11 +16,11 @@
 from currantdeal.testing.platform_upstream import (
     EVENTS,
     StandInUpstream,
-    pieces,
-    refuse,
+    event_numbers,
     send_chunk,
     send_event,
     send_json,
+    send_refusal,
 )
 
 NOTE = request_bytes("/note/1", more=GENERATION)
@@ -61,19 +61,19 @@
     async def run():
         prefill, decode = await _start_engines(None)
         async with entry_world() as world:
-            world.know_engines(prefill, decode)
-            return await world.ask(NOTE), prefill, decode
+            world.announce_engines(prefill, decode)
+            return await world.exchange(NOTE), prefill, decode
 
     answer, prefill, decode = asyncio.run(run())
-    assert pieces(answer) == list(range(1, EVENTS + 1))
+    assert event_numbers(answer) == list(range(1, EVENTS + 1))
     assert answer.endswith(b"0\r\n\r\n")
     assert b"by-d1" in answer
-    reserve, stream = decode.seen
+    reserve, stream = decode.requests
     assert reserve.target == "/v1/hold-take"
     assert stream.get("X-Currantdeal-Kv-Hold") == "hold-1"
     source = stream.get("X-Currantdeal-Kv-Source")
     assert source == f"{prefill.address}/kv-1"
-    (read,) = prefill.seen
+    (read,) = prefill.requests
     assert read.get("X-Currantdeal-Stage") == "prefill"
     assert int(read.get("X-Currantdeal-Deadline-Ms")) <= 2_000
 
@@ -90,11 +90,11 @@
         crash = _crash_after(3, partial=b"id: 4\ndata: pie")
         prefill, first, second = await _start_engines(crash, crash)
         async with entry_world() as world:
-            world.know_engines(prefill, first, second)
-            return await world.ask(DRAFT), first, second
+            world.announce_engines(prefill, first, second)
+            return await world.exchange(DRAFT), first, second
 
     answer, first, second = asyncio.run(run())
-    assert pieces(answer) == list(range(1, EVENTS + 1))
+    assert event_numbers(answer) == list(range(1, EVENTS + 1))
     assert b"data: pieid" not in answer
     assert answer.endswith(b"0\r\n\r\n")
     assert len(first.runs) + len(second.runs) == 2
@@ -121,20 +121,20 @@
         return True
 
     async def full(standin, request, writer):
-        refuse(writer)
+        send_refusal(writer)
         return True
 
     async def run():
         prefill, first, second = await _start_engines(pauses, full)
         async with entry_world(config=config_body(timeout_ms=5000)) as world:
-            world.know_engines(prefill, first, second)
+            world.announce_engines(prefill, first, second)
             draft = request_bytes("/draft/1", more=GENERATION)
-            return await world.ask(draft), second
+            return await world.exchange(draft), second
 
     answer, second = asyncio.run(run())
-    assert pieces(answer) == list(range(1, EVENTS + 1))
+    assert event_numbers(answer) == list(range(1, EVENTS + 1))
     assert answer.endswith(b"0\r\n\r\n")
-    assert second.seen != []
+    assert second.requests != []
 
 
 def test_stream_fails_over_from_a_silent_engine_to_one_with_memory():
@@ -158,11 +158,11 @@
     async def run():
         prefill, first, second = await _start_engines(goes_silent, goes_silent)
         async with entry_world(config=config_body(timeout_ms=5000)) as world:
-            world.know_engines(prefill, first, second)
-            return await world.ask(DRAFT)
+            world.announce_engines(prefill, first, second)
+            return await world.exchange(DRAFT)
 
     answer = asyncio.run(run())
-    assert pieces(answer) == list(range(1, EVENTS + 1))
+    assert event_numbers(answer) == list(range(1, EVENTS + 1))
 
 
 def test_stream_that_may_not_be_repeated_ends_without_a_terminator():
@@ -176,11 +176,11 @@
             _crash_after(2), _crash_after(2)
         )
         async with entry_world() as world:
-            world.know_engines(prefill, first, second)
-            return await world.ask(NOTE), first, second
+            world.announce_engines(prefill, first, second)
+            return await world.exchange(NOTE), first, second
 
     answer, first, second = asyncio.run(run())
-    assert pieces(answer) == [1, 2]
+    assert event_numbers(answer) == [1, 2]
     assert not answer.endswith(b"0\r\n\r\n")
     assert len(first.runs) + len(second.runs) == 1
 
@@ -203,12 +203,12 @@
             _crash_after(2), _crash_after(2)
         )
         async with entry_world(config=json.dumps(config).encode()) as world:
-            world.know_engines(prefill, first, second)
+            world.announce_engines(prefill, first, second)
             asked = request_bytes("/menu/1", more=GENERATION)
-            return await world.ask(asked), first, second
+            return await world.exchange(asked), first, second
 
     answer, first, second = asyncio.run(run())
-    assert pieces(answer) == [1, 2]
+    assert event_numbers(answer) == [1, 2]
     assert not answer.endswith(b"0\r\n\r\n")
     assert len(first.runs) + len(second.runs) == 1
     assert "broken off: " in capsys.readouterr().out
@@ -223,19 +223,19 @@
     """
 
     async def full(standin, request, writer):
-        refuse(writer)
+        send_refusal(writer)
         return True
 
     async def run():
         prefill, decode = await _start_engines(full)
         async with entry_world() as world:
-            world.know_engines(prefill, decode)
-            return await world.ask(NOTE), prefill, decode
+            world.announce_engines(prefill, decode)
+            return await world.exchange(NOTE), prefill, decode
 
     answer, prefill, decode = asyncio.run(run())
     assert answer.startswith(b"HTTP/1.1 503")
     assert b"retry-after:" in answer.lower()
-    assert prefill.seen == []
+    assert prefill.requests == []
     assert decode.runs == []
 
 
@@ -248,11 +248,11 @@
     async def run():
         prefill, decode = await _start_engines(None)
         async with entry_world() as world:
-            world.know_engines(prefill, decode)
+            world.announce_engines(prefill, decode)
 
             async def leave(standin, request, writer):
                 if request.get("X-Currantdeal-Stage") == "prefill":
-                    world.know(
+                    world.announce(
                         decode,
                         service="model",
                         state=UpstreamState.DRAINING,
@@ -260,14 +260,14 @@
                 return False
 
             prefill.script = leave
-            answer = await world.ask(NOTE)
+            answer = await world.exchange(NOTE)
             await asyncio.sleep(0.1)
             return answer, prefill, decode
 
     answer, prefill, decode = asyncio.run(run())
     assert answer.startswith(b"HTTP/1.1 503")
-    assert "/v1/kv-handle/kv-1" in [r.target for r in prefill.seen]
-    assert "/v1/hold-drop/hold-1" in [r.target for r in decode.seen]
+    assert "/v1/kv-handle/kv-1" in [r.target for r in prefill.requests]
+    assert "/v1/hold-drop/hold-1" in [r.target for r in decode.requests]
     assert decode.runs == []
 
 
@@ -282,11 +282,11 @@
     async def run():
         prefill, decode = await _start_engines(None)
         async with entry_world() as world:
-            world.know_engines(prefill, decode)
+            world.announce_engines(prefill, decode)
 
             async def leave(standin, request, writer):
                 if request.target == "/v1/hold-take":
-                    world.know(
+                    world.announce(
                         decode,
                         service="model",
                         state=UpstreamState.DRAINING,
@@ -294,13 +294,13 @@
                 return False
 
             decode.script = leave
-            answer = await world.ask(NOTE)
+            answer = await world.exchange(NOTE)
             await asyncio.sleep(0.1)
             return answer, decode
 
     answer, decode = asyncio.run(run())
     assert answer.startswith(b"HTTP/1.1 503")
-    assert "/v1/hold-drop/hold-1" in [r.target for r in decode.seen]
+    assert "/v1/hold-drop/hold-1" in [r.target for r in decode.requests]
     assert decode.runs == []
 
 
@@ -324,16 +324,16 @@
     async def run():
         prefill, replaced, healthy = await _start_engines(other, None)
         async with entry_world() as world:
-            world.know_engines(prefill, replaced, healthy)
+            world.announce_engines(prefill, replaced, healthy)
             answers = []
             for _ in range(3):
-                answers.append(await world.ask(NOTE))
+                answers.append(await world.exchange(NOTE))
                 # Longer than an engine that refused stays ejected.
                 await asyncio.sleep(0.6)
             return answers, replaced
 
     answers, replaced = asyncio.run(run())
-    assert all(pieces(a) == list(range(1, EVENTS + 1)) for a in answers)
+    assert all(event_numbers(a) == list(range(1, EVENTS + 1)) for a in answers)
     assert len(replaced.runs) <= 1
 
 
@@ -362,7 +362,7 @@
 
         prefill, decode = await _start_engines(slow)
         async with entry_world() as world:
-            world.know_engines(prefill, decode)
+            world.announce_engines(prefill, decode)
             reader, writer = await world.send(NOTE)
             await reader.readuntil(b"piece 1")
             writer.close()
@@ -391,9 +391,9 @@
     async def run():
         prefill, decode = await _start_engines(None)
         async with entry_world() as world:
-            world.know_engines(prefill, decode)
-            await world.ask(request_bytes("/note/1", more=forged))
-            return prefill.seen + decode.seen
+            world.announce_engines(prefill, decode)
+            await world.exchange(request_bytes("/note/1", more=forged))
+            return prefill.requests + decode.requests
 
     for request in asyncio.run(run()):
         values = [value for _, value in request.headers]
@@ -415,8 +415,8 @@
     async def run():
         prefill, decode = await _start_engines(foreign)
         async with entry_world() as world:
-            world.know_engines(prefill, decode)
-            return await world.ask(NOTE)
+            world.announce_engines(prefill, decode)
+            return await world.exchange(NOTE)
 
     answer = asyncio.run(run())
     assert answer.startswith(b"HTTP/1.1 502")
--- a/currantdeal/entry/tests/test_lost_engines.py
+++ b/currantdeal/entry/tests/test_lost_engines.py
@@ -13,8 +13,8 @@
 from currantdeal.testing.platform_upstream import (
     EVENTS,
     StandInUpstream,
-    pieces,
-    refuse,
+    event_numbers,
+    send_refusal,
 )
 
 TARGET_MS = 900
@@ -28,7 +28,7 @@
 
 
 async def _refuses(standin, request, writer):
-    refuse(writer)
+    send_refusal(writer)
     return True
 
 
@@ -43,14 +43,14 @@
 def _announce(world, engines):
     for name, standin in engines.items():
         stage = Stage.PREFILL if name.startswith("p") else Stage.DECODE
-        world.know(standin, service="model", stage=stage)
+        world.announce(standin, service="model", stage=stage)
 
 
 async def _answer_time_s(world):
     """Send one request; returns the seconds to the end of its answer."""
     began_s = time.monotonic()
-    answer = await world.ask(NOTE)
-    assert pieces(answer) == list(range(1, EVENTS + 1))
+    answer = await world.exchange(NOTE)
+    assert event_numbers(answer) == list(range(1, EVENTS + 1))
     return time.monotonic() - began_s
 
 
@@ -84,12 +84,12 @@
         async with entry_world() as world:
             _announce(world, engines)
             for _ in range(6):
-                answer = await world.ask(NOTE)
-                assert pieces(answer) == list(range(1, EVENTS + 1))
+                answer = await world.exchange(NOTE)
+                assert event_numbers(answer) == list(range(1, EVENTS + 1))
             return engines
 
     engines = asyncio.run(run())
-    assert len(engines["p2"].seen) == 6
+    assert len(engines["p2"].requests) == 6
     sources = [r.get("X-Currantdeal-Kv-Source") for r in engines["d1"].runs]
     assert all(sources)
 
@@ -130,15 +130,15 @@
         engines = await _start_engines(p1=None, d1=script)
         async with entry_world() as world:
             _announce(world, engines)
-            refused = await world.ask(NOTE)
+            refused = await world.exchange(NOTE)
             assert b" 503 " in refused
             await asyncio.sleep(0.3)
             unresponsive = False
             for _ in range(40):
                 await asyncio.sleep(0.1)
-                if pieces(await world.ask(NOTE)):
+                if event_numbers(await world.exchange(NOTE)):
                     break
-            checks = [r for r in engines["d1"].seen if r.target == "/h"]
+            checks = [r for r in engines["d1"].requests if r.target == "/h"]
             return len(checks)
 
     assert asyncio.run(run()) >= 1
@@ -191,9 +191,9 @@
                 (chosen,) = [
                     engines[name]
                     for name in ("d1", "d2")
-                    if engines[name].seen
+                    if engines[name].requests
                 ]
-                world.know(
+                world.announce(
                     chosen,
                     service="model",
                     stage=Stage.DECODE,
@@ -203,10 +203,10 @@
 
             engines = await _start_engines(p1=drains, d1=None, d2=None)
             _announce(world, engines)
-            answer = await world.ask(NOTE)
+            answer = await world.exchange(NOTE)
             return answer, engines
 
     answer, engines = asyncio.run(run())
-    assert pieces(answer) == list(range(1, EVENTS + 1))
-    prefills = [r for r in engines["p1"].seen if r.method == "POST"]
+    assert event_numbers(answer) == list(range(1, EVENTS + 1))
+    prefills = [r for r in engines["p1"].requests if r.method == "POST"]
     assert len(prefills) == 1
--- a/currantdeal/entry/tests/test_plain.py
+++ b/currantdeal/entry/tests/test_plain.py
@@ -11,7 +11,7 @@
 )
 from currantdeal.testing.platform_upstream import (
     StandInUpstream,
-    refuse,
+    send_refusal,
 )
 
 MENU = request_bytes("/menu/1", method="GET", body=b"")
@@ -29,8 +29,8 @@
         async with entry_world(allowance=allowance) as world:
             for standin in standins:
                 await standin.start()
-                world.know(standin)
-            return await world.ask(raw), standins
+                world.announce(standin)
+            return await world.exchange(raw), standins
 
     return asyncio.run(run())
 
@@ -40,7 +40,7 @@
 
 
 async def _full(standin, request, writer):
-    refuse(writer)
+    send_refusal(writer)
     return True
 
 
@@ -75,7 +75,7 @@
 
 def test_method_path_body_and_id_arrive_unchanged():
     answer, (standin,) = _ask(ORDER, None)
-    (request,) = standin.seen
+    (request,) = standin.requests
     assert request.method == "POST"
     assert request.target == "/order/1"
     assert request.body == b"cake=1"
@@ -122,7 +122,7 @@
 def test_a_refused_call_goes_to_another_upstream():
     answer, standins = _ask(ORDER, _full, None)
     assert answer.startswith(b"HTTP/1.1 200")
-    assert len(standins[1].seen) == 1
+    assert len(standins[1].requests) == 1
 
 
 def test_a_call_that_all_upstreams_refuse_is_refused_with_retry_after():
@@ -165,8 +165,8 @@
         standin = StandInUpstream(script=twice)
         async with entry_world() as world:
             await standin.start()
-            world.know(standin)
-            return [await world.ask(ORDER) for _ in range(3)]
+            world.announce(standin)
+            return [await world.exchange(ORDER) for _ in range(3)]
 
     assert all(a.endswith(b"first") for a in asyncio.run(run()))
 
@@ -184,7 +184,7 @@
 
     async def run():
         async with entry_world(config=b"") as world:
-            return await world.ask(ORDER)
+            return await world.exchange(ORDER)
 
     assert asyncio.run(run()).startswith(b"HTTP/1.1 503")
 
@@ -199,11 +199,11 @@
         standin = StandInUpstream()
         async with entry_world() as world:
             await standin.start()
-            world.know(standin)
+            world.announce(standin)
             raw = request_bytes("/order/1", close=False) + ORDER
             reader, _ = await world.send(raw)
             return await read_to_end(reader), standin
 
     answer, standin = asyncio.run(run())
     assert answer.count(b"HTTP/1.1 200") == 2
-    assert len(standin.seen) == 2
+    assert len(standin.requests) == 2
--- a/currantdeal/entry/tests/test_query_of_death.py
+++ b/currantdeal/entry/tests/test_query_of_death.py
@@ -15,7 +15,7 @@
     entry_world,
     request_bytes,
 )
-from currantdeal.testing.platform_upstream import EVENTS, pieces
+from currantdeal.testing.platform_upstream import EVENTS, event_numbers
 
 POISON = b"poison"
 
@@ -44,7 +44,7 @@
 
 def _is_served(kind, body, answer):
     if KINDS[kind][1]:
-        return pieces(answer) == list(range(1, EVENTS + 1))
+        return event_numbers(answer) == list(range(1, EVENTS + 1))
     return answer.startswith(b"HTTP/1.1 200") and answer.endswith(body)
 
 
@@ -63,8 +63,8 @@
     def _add(self, name, place, options):
         standin = CrashingUpstream(
             upstream=name,
-            crashes_under=_is_poison,
-            on_back=lambda standin: self._announce(standin, place),
+            crashes_on=_is_poison,
+            on_restart=lambda standin: self._announce(standin, place),
             **options,
         )
         self.standins[name] = (standin, place)
@@ -80,7 +80,7 @@
 
     def _announce(self, standin, place):
         service, stage = place
-        self._world.know(
+        self._world.announce(
             standin,
             service=service,
             stage=stage,
@@ -92,7 +92,7 @@
     """Send the query of death repeatedly; returns the answers."""
     answers = []
     for _ in range(REPEATS):
-        answers.append(await world.ask(_request(kind, POISON)))
+        answers.append(await world.exchange(_request(kind, POISON)))
         await asyncio.sleep(pause_s)
     return answers
 
@@ -103,7 +103,7 @@
     while not done.is_set():
         body = bodies[number % len(bodies)]
         number += 1
-        answer = await world.ask(_request(kind, body))
+        answer = await world.exchange(_request(kind, body))
         answers.append((body, answer))
         await asyncio.sleep(0.01)
 
@@ -122,7 +122,7 @@
             fleet = _Fleet(world=world, **options)
             await fleet.start()
             for _ in range(before):
-                await world.ask(_request(kind, b"sound"))
+                await world.exchange(_request(kind, b"sound"))
             tasks = [
                 asyncio.ensure_future(
                     _send_healthy(
--- a/currantdeal/entry/tests/test_resets.py
+++ b/currantdeal/entry/tests/test_resets.py
@@ -22,7 +22,7 @@
 from currantdeal.testing.platform_upstream import (
     EVENTS,
     StandInUpstream,
-    pieces,
+    event_numbers,
     read_request,
     send_event,
 )
@@ -153,12 +153,12 @@
         for standin in standins:
             service = "model" if kind in STREAMS else "shop"
             stage = Stage.DECODE if kind in STREAMS else None
-            world.know(standin, service=service, stage=stage)
-        world.know(prefill, service="model", stage=Stage.PREFILL)
+            world.announce(standin, service=service, stage=stage)
+        world.announce(prefill, service="model", stage=Stage.PREFILL)
         if phase is ExchangePhase.CONNECTING:
             for standin in standins:
                 standin.stop()
-        answer = await world.ask(REQUESTS[kind])
+        answer = await world.exchange(REQUESTS[kind])
     runs = sum(len(standin.runs) for standin in standins)
     return answer, runs + (
         phase is ExchangePhase.SENDING and bool(state["reset"])
@@ -181,7 +181,7 @@
     elif expected.retry_by is RetryBy.NOBODY:
         assert runs == 1
         if expected.sender_result is SenderResult.CUT:
-            assert pieces(answer) == [1, 2]
+            assert event_numbers(answer) == [1, 2]
             assert not answer.endswith(b"0\r\n\r\n")
         else:
             assert status == b"502"
@@ -189,5 +189,5 @@
     else:
         assert (runs, status) == (2, b"200")
         if kind in STREAMS:
-            assert pieces(answer) == list(range(1, EVENTS + 1))
+            assert event_numbers(answer) == list(range(1, EVENTS + 1))
             assert answer.endswith(b"0\r\n\r\n")
--- a/currantdeal/membership/__init__.py
+++ b/currantdeal/membership/__init__.py
@@ -10,9 +10,12 @@
     choose_entries,
 )
 from currantdeal.membership.errors import MembershipError, WireError
-from currantdeal.membership.grants import GrantBook, HeldReservation, digest_of
+from currantdeal.membership.grants import (
+    HeldReservation,
+    HeldReservations,
+    digest_of,
+)
 from currantdeal.membership.home import Phase, UpstreamHome
-from currantdeal.membership.home_book import BookLimits, Cancel, HomeBook
 from currantdeal.membership.home_messages import (
     HOME_CODEC,
     ClaimedGrant,
@@ -28,13 +31,18 @@
     SyncAnswer,
 )
 from currantdeal.membership.home_plan import (
-    GiveHome,
+    HandOverHome,
     HomePlanner,
-    Presence,
-    Surroundings,
-    TakeHome,
+    PlanContext,
+    PresenceTracker,
+    TakeOverHome,
     plan_homes,
 )
+from currantdeal.membership.home_registry import (
+    Cancel,
+    HomeRegistry,
+    HomeTimeouts,
+)
 from currantdeal.membership.load_wire import decode_loads, encode_loads
 from currantdeal.membership.messages import (
     Ack,
@@ -56,7 +64,6 @@
 
 __all__ = [
     "Ack",
-    "BookLimits",
     "Cancel",
     "ClaimedGrant",
     "Claims",
@@ -65,30 +72,31 @@
     "EntriesAnswer",
     "EntryAddress",
     "Exchange",
-    "GiveHome",
-    "GrantBook",
     "GrowCall",
     "HOME_CODEC",
-    "HeldReservation",
+    "HandOverHome",
     "HeldKey",
-    "HomeBook",
+    "HeldReservation",
+    "HeldReservations",
     "HomePlanner",
     "HomeRefusal",
+    "HomeRegistry",
+    "HomeTimeouts",
     "MemberTable",
     "MembershipError",
     "PassedReports",
     "Phase",
     "Ping",
     "PingRequest",
-    "Presence",
+    "PlanContext",
+    "PresenceTracker",
     "ReserveCall",
     "Send",
-    "Surroundings",
     "Swim",
     "SwimTiming",
     "Sync",
     "SyncAnswer",
-    "TakeHome",
+    "TakeOverHome",
     "UpstreamHome",
     "WireError",
     "choose_entries",
--- a/currantdeal/membership/grants.py
+++ b/currantdeal/membership/grants.py
@@ -67,22 +67,22 @@
     return Claims(count=count, digest=digest >> 1)
 
 
-class GrantBook:
+class HeldReservations:
     """Thread-safe table of the reservations of one entry.
 
     Examples
     --------
-    >>> from currantdeal.membership import GrantBook
+    >>> from currantdeal.membership import HeldReservations
     >>> from currantdeal.ports import ReservationRequest
-    >>> book = GrantBook()
+    >>> reservations = HeldReservations()
     >>> request = ReservationRequest(
     ...     request_id="r1", caller="c", entry="i1", upstream_id="d1")
-    >>> book.ask(request, home="i2", fence=7)
-    >>> [held.request.request_id for held in book.of_upstream("d1")]
+    >>> reservations.record_request(request, home="i2", fence=7)
+    >>> [held.request.request_id for held in reservations.of_upstream("d1")]
     ['r1']
-    >>> book.end("d1", "r1") is not None
+    >>> reservations.remove("d1", "r1") is not None
     True
-    >>> book.of_upstream("d1")
+    >>> reservations.of_upstream("d1")
     ()
     """
 
@@ -91,7 +91,7 @@
         self._lock = threading.Lock()
         self._held = {}
 
-    def ask(self, request, *, home, fence):
+    def record_request(self, request, *, home, fence):
         """Record a reservation before the request is sent to its home.
 
         A new home requests the reservations of the reachable entries.  If a
@@ -106,7 +106,7 @@
         with self._lock:
             self._held.setdefault(key, held)
 
-    def granted(self, grant):
+    def record_grant(self, grant):
         """Record a grant; return whether its reservation still exists."""
         key = grant.upstream_id, grant.request_id
         with self._lock:
@@ -117,7 +117,7 @@
                 )
         return held is not None
 
-    def grown(self, grant, *, pieces):
+    def record_growth(self, grant, *, pieces):
         """Record that pieces were added to a grant."""
         key = grant.upstream_id, grant.request_id
         with self._lock:
@@ -125,7 +125,7 @@
             if held is not None:
                 self._held[key] = replace(held, pieces=held.pieces + pieces)
 
-    def end(self, upstream_id, request_id):
+    def remove(self, upstream_id, request_id):
         """Remove a reservation and return it, or None if it is unknown."""
         with self._lock:
             return self._held.pop((upstream_id, request_id), None)
--- a/currantdeal/membership/home.py
+++ b/currantdeal/membership/home.py
@@ -34,7 +34,7 @@
     WAITING = "waiting"
     RECONCILING = "reconciling"
     OPEN = "open"
-    GIVEN = "given"
+    HANDED_OVER = "given"
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -112,11 +112,11 @@
         """Whether no grant is in force."""
         return not self._ledger.grants
 
-    def advance(self, phase):
+    def set_phase(self, phase):
         """Change to a phase."""
         self._phase = phase
 
-    def close(self, paused):
+    def pause_reservations(self, paused):
         """Pause or resume granting, for an order that needs an idle engine.
 
         Parameters
--- a/currantdeal/membership/home_plan.py
+++ b/currantdeal/membership/home_plan.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TakeHome:
+class TakeOverHome:
     """Move of an upstream's home to this instance.
 
     Parameters
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class GiveHome:
+class HandOverHome:
     """Move of an upstream's home from this instance to another one.
 
     Parameters
@@ -51,12 +51,12 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Surroundings:
+class PlanContext:
     """Membership on which a plan of homes is based.
 
     Parameters
     ----------
-    me : InstanceId
+    local_id : InstanceId
         This instance.
     members : tuple of Member
         All known instances.
@@ -68,7 +68,7 @@
         Instances that have been unavailable long enough to lose their homes.
     """
 
-    me: InstanceId
+    local_id: InstanceId
     members: tuple
     draining: frozenset = frozenset()
     settled: frozenset = frozenset()
@@ -84,14 +84,14 @@
         Replicated state.
     own_fences : dict of UpstreamId to FencingNumber
         Fencing numbers of the homes that this process has taken over.
-    context : Surroundings
+    context : PlanContext
         Membership on which the plan is based.
     """
     moves = []
     for name in sorted(state.upstreams):
         record = state.upstreams[name]
         home = state.homes.get(name)
-        if record.present or (home and home.instance == context.me):
+        if record.present or (home and home.instance == context.local_id):
             moves.append(_plan(record.upstream, home, own_fences, context))
     planned = [move for move in moves if move is not None]
     return _at_most_one_rebalance(planned, context)
@@ -142,13 +142,13 @@
     name = upstream.upstream_id
     preferred = choose_home(upstream, context.members, context.draining)
     if home is None:
-        if preferred == context.me:
-            return TakeHome(upstream_id=name, expected_fence=0)
+        if preferred == context.local_id:
+            return TakeOverHome(upstream_id=name, expected_fence=0)
         return None
-    if home.instance == context.me:
+    if home.instance == context.local_id:
         return _plan_own(name, home, preferred, own_fences, context)
-    if preferred == context.me and home.instance in context.absent:
-        return TakeHome(
+    if preferred == context.local_id and home.instance in context.absent:
+        return TakeOverHome(
             upstream_id=name,
             expected_fence=home.fence,
             former=home.instance,
@@ -157,29 +157,29 @@
 
 
 def _plan_own(name, home, preferred, own_fences, context):
-    is_draining = context.me in context.draining
-    if preferred not in (None, context.me) and (
+    is_draining = context.local_id in context.draining
+    if preferred not in (None, context.local_id) and (
         is_draining or preferred in context.settled
     ):
-        return GiveHome(
+        return HandOverHome(
             upstream_id=name, expected_fence=home.fence, to=preferred
         )
     if own_fences.get(name) != home.fence and not is_draining:
         # This instance was the home before it restarted, or the home was
         # handed over to it.  The process has no ledger for it, and a new
         # fence invalidates anything that the former process still sends.
-        return TakeHome(upstream_id=name, expected_fence=home.fence)
+        return TakeOverHome(upstream_id=name, expected_fence=home.fence)
     return None
 
 
 def _at_most_one_rebalance(moves, context):
-    if context.me in context.draining:
+    if context.local_id in context.draining:
         return moves
-    handovers = [move for move in moves if isinstance(move, GiveHome)]
+    handovers = [move for move in moves if isinstance(move, HandOverHome)]
     return [move for move in moves if move not in handovers[1:]]
 
 
-class Presence:
+class PresenceTracker:
     """Time for which each instance has been alive or unavailable.
 
     Parameters
--- a/currantdeal/membership/home_book.py
+++ b/currantdeal/membership/home_registry.py
@@ -49,28 +49,28 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BookLimits:
+class HomeTimeouts:
     """Timeouts of a home, in seconds.
 
     Parameters
     ----------
-    entry_silence_s : float
+    entry_timeout_s : float
         Time without a heartbeat after which the requests of an entry are
         cancelled.
-    upstream_silence_s : float
+    upstream_timeout_s : float
         Time without a renewal after which an upstream is retired.
-    pause_s : float
+    max_pause_s : float
         Time between two checks beyond which this process is assumed to
         have been paused.  It may have missed messages during the pause, so
         all timeouts restart.
     """
 
-    entry_silence_s: float = 2.0
-    upstream_silence_s: float = 2.5
-    pause_s: float = 1.0
+    entry_timeout_s: float = 2.0
+    upstream_timeout_s: float = 2.5
+    max_pause_s: float = 1.0
 
 
-class HomeBook:
+class HomeRegistry:
     """Homes of this instance.
 
     Parameters
@@ -80,17 +80,17 @@
     output_gap_s : float
         Target for the longest time between two outputs of a stream, in
         seconds.
-    limits : BookLimits
+    timeouts : HomeTimeouts
         Timeouts of entries and upstreams.
     now_s : float
         Monotonic time, in seconds.
     """
 
-    def __init__(self, *, instance, output_gap_s, limits, now_s):
+    def __init__(self, *, instance, output_gap_s, timeouts, now_s):
         """Start without homes."""
         self._instance = InstanceId(instance)
         self._output_gap_s = output_gap_s
-        self._limits = limits
+        self._timeouts = timeouts
         self._homes = {}
         self._entries = {}
         self._load_number = 0
@@ -108,7 +108,7 @@
         return {
             name: home.fence
             for name, home in self._homes.items()
-            if home.phase is not Phase.GIVEN
+            if home.phase is not Phase.HANDED_OVER
         }
 
     def homes(self, phase=None):
@@ -126,7 +126,7 @@
             return None
         return home
 
-    def take(self, upstream, fence, now_s):
+    def add_home(self, upstream, fence, now_s):
         """Create the home of an upstream on this instance."""
         home = UpstreamHome(
             upstream=upstream,
@@ -138,7 +138,7 @@
         self._homes[upstream.upstream_id] = home
         return home
 
-    def follow(self, state, now_s):
+    def apply_state(self, state, now_s):
         """Apply the replicated state.
 
         Removes homes that were assigned elsewhere, and updates the records
@@ -199,7 +199,7 @@
             if home is not None:
                 home.release(key.request_id)
         for report in decode_loads(heartbeat.reports):
-            self.hear(report, now_s)
+            self.record_report(report, now_s)
         lost = ()
         if heartbeat.held is not None:
             lost = self._lost_reservations(heartbeat)
@@ -212,7 +212,7 @@
         )
         return answer, cancels
 
-    def hear(self, report, now_s):
+    def record_report(self, report, now_s):
         """Record the load report with which an upstream renews."""
         home = self._homes.get(report.upstream_id)
         before = home.load if home else None
@@ -225,28 +225,28 @@
         self._load_number += 1
         self._load_numbers[report.upstream_id] = self._load_number
 
-    def excuse_if_paused(self, now_s, *, listening):
+    def reset_timeouts_if_paused(self, now_s, *, has_lease):
         """Restart all timeouts after a pause or without a lease.
 
         Parameters
         ----------
-        listening : bool
+        has_lease : bool
             False while this instance holds no lease.  It cannot distinguish
             unreachable entries and upstreams from its own isolation then,
             and cancelling would end requests that still run.
         """
-        paused = now_s - self._last_check_s > self._limits.pause_s
+        paused = now_s - self._last_check_s > self._timeouts.max_pause_s
         self._last_check_s = now_s
-        if listening and not paused:
+        if has_lease and not paused:
             return
         for name, entry in self._entries.items():
             self._entries[name] = replace(entry, last_heartbeat_s=now_s)
         for home in self._homes.values():
             home.reset_timeout(now_s)
 
-    def silent_entries(self, now_s):
+    def expire_entries(self, now_s):
         """Remove entries that timed out; return the requests to cancel."""
-        oldest_s = now_s - self._limits.entry_silence_s
+        oldest_s = now_s - self._timeouts.entry_timeout_s
         cancels = ()
         for name, entry in list(self._entries.items()):
             if entry.last_heartbeat_s < oldest_s:
@@ -254,9 +254,9 @@
                 cancels += self._drop_entry(name)
         return cancels
 
-    def silent_upstreams(self, now_s):
+    def unresponsive_upstreams(self, now_s):
         """Return the upstreams that timed out and have to be retired."""
-        oldest_s = now_s - self._limits.upstream_silence_s
+        oldest_s = now_s - self._timeouts.upstream_timeout_s
         return tuple(
             UnresponsiveUpstream(
                 upstream_id=home.upstream.upstream_id,
--- a/currantdeal/node/connection_pool.py
+++ b/currantdeal/node/connection_pool.py
@@ -11,10 +11,10 @@
 import asyncio
 
 from currantdeal.node.errors import (
-    BrokenAnswerError,
     ConnectError,
     ConnectRefusedError,
-    SilentUpstreamError,
+    InvalidResponseError,
+    ResponseTimeoutError,
 )
 from currantdeal.node.http_client import UpstreamConnection
 from currantdeal.node.settings import split_address
@@ -40,14 +40,14 @@
         """Start with an empty pool."""
         self._idle = {}
 
-    async def take(
-        self, address, *, timeout_s=CONNECT_TIMEOUT_S, harmless=False
+    async def acquire(
+        self, address, *, timeout_s=CONNECT_TIMEOUT_S, retryable=False
     ):
         """Return an idle connection, or a new one if there is none.
 
         Parameters
         ----------
-        harmless : bool
+        retryable : bool
             True for a retryable request, one that may be lost and sent
             again; connections that have been idle for longer are then
             reused as well.
@@ -60,7 +60,7 @@
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
-            if connection.is_usable(harmless=harmless):
+            if connection.is_usable(retryable=retryable):
                 return connection
             connection.close()
         return await self.open(address, timeout_s=timeout_s)
@@ -68,7 +68,7 @@
     def is_connected(self, address):
         """Return whether an idle connection can take a retryable request."""
         idle = self._idle.get(address, ())
-        return any(c.is_usable(harmless=True) for c in idle)
+        return any(c.is_usable(retryable=True) for c in idle)
 
     async def open(self, address, *, timeout_s=CONNECT_TIMEOUT_S):
         """Open and return a new connection.
@@ -97,7 +97,7 @@
             raise ConnectError(f"{address}: {exc}") from exc
         return connection
 
-    def put_back(self, connection):
+    def release(self, connection):
         """Return a connection to the pool after an exchange, or close it."""
         idle = self._idle.setdefault(connection.address, [])
         if connection.reusable and len(idle) < MAX_IDLE:
@@ -105,14 +105,14 @@
         else:
             connection.close()
 
-    def forget(self, address):
+    def close_idle(self, address):
         """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.close()
 
 
 async def exchange(
-    pool, address, outgoing, *, timeout_s, limit=1 << 20, harmless=False
+    pool, address, outgoing, *, timeout_s, limit=1 << 20, retryable=False
 ):
     """Send a small request and return the response head and the whole body.
 
@@ -122,7 +122,7 @@
         Time within which the whole response must be received.
     limit : int
         Maximum size of the response body, in bytes.
-    harmless : bool
+    retryable : bool
         True for a retryable request, one that may be lost and sent again.
         If the upstream had already closed the reused connection on which it
         was sent, the request is sent once more on a new connection.
@@ -132,16 +132,16 @@
     ExchangeError
         If no complete response is received within ``timeout_s``.
     """
-    connection = await pool.take(
-        address, timeout_s=timeout_s, harmless=harmless
+    connection = await pool.acquire(
+        address, timeout_s=timeout_s, retryable=retryable
     )
     reused = connection.used
     try:
         return await _exchange_on(
             pool, connection, outgoing, timeout_s=timeout_s, limit=limit
         )
-    except BrokenAnswerError as exc:
-        if not (harmless and reused):
+    except InvalidResponseError as exc:
+        if not (retryable and reused):
             raise
         first_error = exc
     try:
@@ -163,12 +163,12 @@
             body = await connection.rest(limit=limit)
     except TimeoutError:
         connection.close()
-        raise SilentUpstreamError(
+        raise ResponseTimeoutError(
             f"no answer from {connection.address} in {timeout_s:.2f} s",
             phase=ExchangePhase.AWAITING_ANSWER,
         ) from None
     except BaseException:
         connection.close()
         raise
-    pool.put_back(connection)
+    pool.release(connection)
     return head, body
--- a/currantdeal/node/dialect.py
+++ b/currantdeal/node/dialect.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Directions:
+class ForwardingOptions:
     """Parameters that the system adds to a request for one upstream.
 
     Parameters
@@ -81,14 +81,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ReplyTraits:
+class ResponseMetadata:
     """Decoded headers of an upstream's response.
 
     Parameters
     ----------
     not_run : bool
         True if the upstream states that it did not run the request.
-    genuine : bool
+    is_signed : bool
         True if the response head carries the upstream's signature.
     request_id : str
         Id of the request that the response belongs to, or empty.
@@ -99,7 +99,7 @@
     """
 
     not_run: bool
-    genuine: bool
+    is_signed: bool
     request_id: str
     load: UpstreamLoad | None = None
     answered_by: str = ""
@@ -117,13 +117,13 @@
             If a header that affects how the request is handled is malformed.
         """
 
-    def outgoing(self, head, body, directions):
+    def outgoing(self, head, body, options):
         """Return the ``Outgoing`` request for an upstream."""
 
-    def read_reply(self, head):
-        """Return the ``ReplyTraits`` decoded from a response head."""
+    def read_response(self, head):
+        """Return the ``ResponseMetadata`` decoded from a response head."""
 
-    def reply_headers(self, head):
+    def response_headers(self, head):
         """Return the response headers that are forwarded to the caller.
 
         ``Content-Length`` is left out, since the forwarding code frames the
@@ -245,7 +245,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FindEntries:
+class LookUpEntries:
     """A caller looks up the entries that it may connect to."""
 
     host: str
@@ -254,8 +254,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskReady:
+class CheckReadiness:
     """The supervisor of the machines runs the readiness check."""
 
 
-Operation = Announce | Leave | PutConfig | GetConfig | FindEntries | AskReady
+Operation = (
+    Announce | Leave | PutConfig | GetConfig | LookUpEntries | CheckReadiness
+)
--- a/currantdeal/node/errors.py
+++ b/currantdeal/node/errors.py
@@ -50,9 +50,9 @@
     """No process listens at the address: the upstream has ended."""
 
 
-class BrokenAnswerError(ExchangeError):
+class InvalidResponseError(ExchangeError):
     """The response was truncated or is not valid HTTP."""
 
 
-class SilentUpstreamError(ExchangeError):
+class ResponseTimeoutError(ExchangeError):
     """The upstream did not respond in time."""
--- a/currantdeal/node/fingerprint.py
+++ b/currantdeal/node/fingerprint.py
@@ -37,6 +37,6 @@
     return digest[:FINGERPRINT_BYTES]
 
 
-def shown(fingerprint):
+def fingerprint_prefix(fingerprint):
     """Return the hexadecimal prefix of a fingerprint shown in logs."""
     return fingerprint[:SHOWN_BYTES].hex()
--- a/currantdeal/node/head.py
+++ b/currantdeal/node/head.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ReplyHead:
+class ResponseHead:
     """Status and headers; header names are in lower case."""
 
     status: int
--- a/currantdeal/node/http_client.py
+++ b/currantdeal/node/http_client.py
@@ -11,8 +11,8 @@
 
 import h11
 
-from currantdeal.node.errors import BrokenAnswerError
-from currantdeal.node.head import ReplyHead
+from currantdeal.node.errors import InvalidResponseError
+from currantdeal.node.head import ResponseHead
 from currantdeal.node.sockets import prepare_socket
 from currantdeal.policy.reset_outcome import ExchangePhase
 
@@ -111,19 +111,19 @@
             self._close_reason = f"connection lost: {exc or 'closed'}"
         self._wake()
 
-    def is_usable(self, *, harmless=False):
+    def is_usable(self, *, retryable=False):
         """Return whether another request may be sent on this connection.
 
         Parameters
         ----------
-        harmless : bool
+        retryable : bool
             True for a retryable request, one that may be lost and sent
             again.
         """
         if self._close_reason is not None or self._transport.is_closing():
             return False
         idle_s = self._loop.time() - self._idle_since_s
-        return idle_s < _reuse_limit_s(self._keep_alive_s, harmless=harmless)
+        return idle_s < _reuse_limit_s(self._keep_alive_s, retryable=retryable)
 
     def send(self, outgoing):
         """Write a request."""
@@ -147,7 +147,7 @@
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 self._record_keep_alive(event)
-                return ReplyHead(
+                return ResponseHead(
                     status=event.status_code, headers=tuple(event.headers)
                 )
 
@@ -211,7 +211,7 @@
     async def _next_event(self):
         while not self._events:
             if self._close_reason is not None:
-                raise BrokenAnswerError(
+                raise InvalidResponseError(
                     f"{self._close_reason} ({self._phase.value})",
                     phase=self._phase,
                 )
@@ -261,10 +261,10 @@
     return None
 
 
-def _reuse_limit_s(keep_alive_s, *, harmless):
+def _reuse_limit_s(keep_alive_s, *, retryable):
     if keep_alive_s is None:
         return IDLE_REUSE_S
     conservative_s = min(IDLE_REUSE_S, keep_alive_s / 2)
-    if harmless:
+    if retryable:
         return max(conservative_s, keep_alive_s - IDLE_MARGIN_S)
     return conservative_s
--- a/currantdeal/node/http_server.py
+++ b/currantdeal/node/http_server.py
@@ -95,7 +95,7 @@
             connection.close_if_idle()
 
     @property
-    def busy(self):
+    def active_requests(self):
         """Number of requests in progress."""
         return sum(1 for c in self.connections if c.is_busy)
 
--- a/currantdeal/node/suspect_log.py
+++ b/currantdeal/node/suspect_log.py
@@ -2,7 +2,7 @@
 
 from enum import Enum
 
-from currantdeal.node.fingerprint import shown
+from currantdeal.node.fingerprint import fingerprint_prefix
 from currantdeal.policy.crash_registry import EARLY_WEIGHT
 
 
@@ -36,7 +36,7 @@
         """Return the number of requests whose status is not clear."""
         return len(self._statuses)
 
-    def note(self, changed):
+    def log_changes(self, changed):
         """Log the requests whose status the changed records have changed.
 
         Parameters
@@ -72,7 +72,7 @@
     def _write(self, status, record):
         self._log.info(
             status.value,
-            fingerprint=shown(record.fingerprint),
+            fingerprint=fingerprint_prefix(record.fingerprint),
             upstreams=[crash.upstream for crash in record.crashes],
             score=self._crash_registry.score(record.fingerprint),
         )
--- a/currantdeal/node/tests/test_bad_input.py
+++ b/currantdeal/node/tests/test_bad_input.py
@@ -19,8 +19,8 @@
         standin = StandInUpstream()
         async with entry_world() as world:
             await standin.start()
-            world.know(standin)
-            return await world.ask(raw), standin.seen
+            world.announce(standin)
+            return await world.exchange(raw), standin.requests
 
     return asyncio.run(run())
 
@@ -147,7 +147,7 @@
         standin = StandInUpstream()
         async with entry_world() as world:
             await standin.start()
-            world.know(standin)
+            world.announce(standin)
             raw = HEAD + (
                 "Expect: 100-continue\r\nContent-Length: 6\r\n"
                 "Connection: close\r\n\r\n"
@@ -170,13 +170,13 @@
         standin = StandInUpstream()
         async with entry_world() as world:
             await standin.start()
-            world.know(standin)
+            world.announce(standin)
             raw = HEAD + "Content-Length: 100\r\n\r\ncake"
             _, writer = await world.send(raw.encode())
             await asyncio.sleep(0.05)
             writer.close()
             await asyncio.sleep(0.1)
-            return standin.seen
+            return standin.requests
 
     assert asyncio.run(run()) == []
 
--- a/currantdeal/node/tests/test_connection_pool.py
+++ b/currantdeal/node/tests/test_connection_pool.py
@@ -3,7 +3,7 @@
 import pytest
 
 from currantdeal.node.connection_pool import ConnectionPool, exchange
-from currantdeal.node.errors import BrokenAnswerError
+from currantdeal.node.errors import InvalidResponseError
 from currantdeal.node.head import Outgoing
 from currantdeal.testing.platform_upstream import StandInUpstream
 
@@ -13,19 +13,19 @@
 
 
 async def _reset_second_request(standin, request, writer):
-    if len(standin.seen) == 2:
+    if len(standin.requests) == 2:
         writer.transport.abort()
         return True
     return False
 
 
-async def _exchange_twice(*, harmless):
+async def _exchange_twice(*, retryable):
     standin = StandInUpstream(script=_reset_second_request)
     await standin.start()
     pool = ConnectionPool()
     for _ in range(2):
         head, _ = await exchange(
-            pool, standin.address, CALL, timeout_s=1.0, harmless=harmless
+            pool, standin.address, CALL, timeout_s=1.0, retryable=retryable
         )
     return head, standin
 
@@ -37,20 +37,20 @@
     counts as unreachable for half a second and the caller's request goes to
     another engine.
     """
-    head, standin = asyncio.run(_exchange_twice(harmless=True))
+    head, standin = asyncio.run(_exchange_twice(retryable=True))
     assert head.status == 200
-    assert len(standin.seen) == 3
+    assert len(standin.requests) == 3
 
 
 def test_other_request_is_not_sent_again():
     """The same reset hits a request that is not retryable and may have run."""
-    with pytest.raises(BrokenAnswerError) as caught:
-        asyncio.run(_exchange_twice(harmless=False))
+    with pytest.raises(InvalidResponseError) as caught:
+        asyncio.run(_exchange_twice(retryable=False))
     assert caught.value.sent
 
 
 async def _stop_at_second_request(standin, request, writer):
-    if len(standin.seen) == 2:
+    if len(standin.requests) == 2:
         standin.stop()
         writer.transport.abort()
         return True
@@ -66,15 +66,15 @@
         pool = ConnectionPool()
         for _ in range(2):
             await exchange(
-                pool, standin.address, CALL, timeout_s=1.0, harmless=True
+                pool, standin.address, CALL, timeout_s=1.0, retryable=True
             )
 
-    with pytest.raises(BrokenAnswerError) as caught:
+    with pytest.raises(InvalidResponseError) as caught:
         asyncio.run(run())
     assert caught.value.sent
 
 
-def _is_reused(extra_headers, *, idle_s, harmless):
+def _is_reused(extra_headers, *, idle_s, retryable):
     """Return whether a second exchange reuses the connection of the first."""
 
     async def script(standin, request, writer):
@@ -90,7 +90,7 @@
         await exchange(pool, standin.address, CALL, timeout_s=1.0)
         began_s = loop.time()
         loop.time = lambda: began_s + idle_s
-        connection = await pool.take(standin.address, harmless=harmless)
+        connection = await pool.acquire(standin.address, retryable=retryable)
         return connection.used
 
     return asyncio.run(run())
@@ -104,8 +104,8 @@
     expense of its users' requests.
     """
     keep_alive = ("Keep-Alive: timeout=10",)
-    assert _is_reused(keep_alive, idle_s=7.0, harmless=True)
-    assert not _is_reused(keep_alive, idle_s=9.0, harmless=True)
-    assert not _is_reused(keep_alive, idle_s=7.0, harmless=False)
-    assert _is_reused(keep_alive, idle_s=3.0, harmless=False)
-    assert not _is_reused((), idle_s=5.0, harmless=True)
+    assert _is_reused(keep_alive, idle_s=7.0, retryable=True)
+    assert not _is_reused(keep_alive, idle_s=9.0, retryable=True)
+    assert not _is_reused(keep_alive, idle_s=7.0, retryable=False)
+    assert _is_reused(keep_alive, idle_s=3.0, retryable=False)
+    assert not _is_reused((), idle_s=5.0, retryable=True)
--- a/currantdeal/node/tests/test_suspect_log.py
+++ b/currantdeal/node/tests/test_suspect_log.py
@@ -12,7 +12,7 @@
     with capture_logs() as lines:
         log = SuspectLog(log=structlog.get_logger(), crash_registry=registry)
         for step in steps:
-            log.note(step(registry))
+            log.log_changes(step(registry))
     return [line["event"] for line in lines]
 
 
@@ -42,7 +42,7 @@
     with capture_logs():
         for number in range(300):
             crash = Crash(upstream=f"u{number}", started_ms=1)
-            log.note(registry.add_crash(b"%d" % (number // 3), crash))
+            log.log_changes(registry.add_crash(b"%d" % (number // 3), crash))
     assert len(registry) == 10
     assert len(log) <= 2 * len(registry)
 
--- a/currantdeal/platform/bounds.py
+++ b/currantdeal/platform/bounds.py
@@ -11,18 +11,18 @@
     ----------
     grace_s : float
         Time between the request to stop and the forced kill.
-    retry_ratio, retry_allowance, retry_window_s : float
+    retry_ratio, retry_burst, retry_window_s : float
         Retry budget of a service: retries as a fraction of its requests, plus
         a fixed number of retries, in any time window of this length.
-    order_pause_s : float
+    min_order_interval_s : float
         Minimum time between orders of two different holders to one upstream.
     """
 
     grace_s: float
     retry_ratio: float
-    retry_allowance: float
+    retry_burst: float
     retry_window_s: float
-    order_pause_s: float
+    min_order_interval_s: float
 
 
 def read_bounds(given):
@@ -30,7 +30,7 @@
     return AgreedBounds(
         grace_s=float(given.get("GraceS", 8.0)),
         retry_ratio=float(given.get("RetryBudgetRatio", 0.1)),
-        retry_allowance=float(given.get("RetryBurst", 10.0)),
+        retry_burst=float(given.get("RetryBurst", 10.0)),
         retry_window_s=float(given.get("BudgetWindowS", 10.0)),
-        order_pause_s=float(given.get("LeaseMs", 3_000.0)) / 1_000.0,
+        min_order_interval_s=float(given.get("LeaseMs", 3_000.0)) / 1_000.0,
     )
--- a/currantdeal/platform/calls.py
+++ b/currantdeal/platform/calls.py
@@ -10,7 +10,7 @@
 from currantdeal.core.errors import DialectError
 from currantdeal.node.dialect import (
     CallerRequest,
-    ReplyTraits,
+    ResponseMetadata,
     UpstreamLoad,
 )
 from currantdeal.node.head import Outgoing, end_to_end, find_header
@@ -57,7 +57,7 @@
             caller=_header_text(head, header_names.AUTHORIZATION),
         )
 
-    def outgoing(self, head, body, directions):
+    def outgoing(self, head, body, options):
         """Encode a caller's request for one upstream."""
         forwarded = end_to_end(
             head.headers, without=header_names.SYSTEM_HEADERS
@@ -70,23 +70,23 @@
         return Outgoing(
             method=head.method,
             target=head.target,
-            headers=(*framed, *_system_headers(directions)),
+            headers=(*framed, *_system_headers(options)),
             body=body,
         )
 
-    def read_reply(self, head):
+    def read_response(self, head):
         """Decode the head of an upstream's response."""
-        return ReplyTraits(
+        return ResponseMetadata(
             not_run=_has_header(head, header_names.NOT_EXECUTED)
             or head.status == 421,
-            genuine=_has_header(head, header_names.SIGNATURE)
+            is_signed=_has_header(head, header_names.SIGNATURE)
             and not _has_header(head, b"content-encoding"),
             request_id=_header_text(head, header_names.REQUEST_ID),
             load=_parse_load(_header_text(head, header_names.LOAD)),
             answered_by=_header_text(head, header_names.INSTANCE),
         )
 
-    def reply_headers(self, head):
+    def response_headers(self, head):
         """Return the headers for the caller, without a content length."""
         return end_to_end(head.headers, without={b"content-length"})
 
@@ -130,26 +130,26 @@
         )
 
 
-def _system_headers(directions):
-    left_ms = max(1, int(directions.time_left_s * _MS))
+def _system_headers(options):
+    left_ms = max(1, int(options.time_left_s * _MS))
     headers = [
         (header_names.DEADLINE, _encode_number(left_ms)),
         (
             header_names.EXPECTED_INSTANCE,
-            directions.upstream.encode("latin-1"),
+            options.upstream.encode("latin-1"),
         ),
     ]
-    if directions.prefill_only:
+    if options.prefill_only:
         headers.append((header_names.STAGE, b"prefill"))
-    if directions.kv_source:
-        headers.append((header_names.KV_SOURCE, directions.kv_source.encode()))
-    if directions.reservation:
-        headers.append((header_names.KV_HOLD, directions.reservation.encode()))
-    if directions.resume_after:
+    if options.kv_source:
+        headers.append((header_names.KV_SOURCE, options.kv_source.encode()))
+    if options.reservation:
+        headers.append((header_names.KV_HOLD, options.reservation.encode()))
+    if options.resume_after:
         headers.append(
             (
                 header_names.LAST_EVENT_ID,
-                directions.resume_after.encode("latin-1"),
+                options.resume_after.encode("latin-1"),
             )
         )
     return headers
--- a/currantdeal/platform/control.py
+++ b/currantdeal/platform/control.py
@@ -11,10 +11,10 @@
 from currantdeal.core.errors import DialectError
 from currantdeal.node.dialect import (
     Announce,
-    AskReady,
-    FindEntries,
+    CheckReadiness,
     GetConfig,
     Leave,
+    LookUpEntries,
     PutConfig,
 )
 from currantdeal.platform.config import decode_config
@@ -48,7 +48,7 @@
         operations = {
             ("PUT", _CONFIG): PutConfig(),
             ("GET", _CONFIG): GetConfig(),
-            ("GET", "/v1/readyz"): AskReady(),
+            ("GET", "/v1/readyz"): CheckReadiness(),
         }
         if (head.method, path) in operations:
             return operations[(head.method, path)]
@@ -101,7 +101,7 @@
     def first_value(name):
         return query.get(name, [""])[0]
 
-    return FindEntries(
+    return LookUpEntries(
         host=first_value("Name"),
         region=first_value("Region"),
         data_center=first_value("Zone"),
--- a/currantdeal/platform/tests/test_control.py
+++ b/currantdeal/platform/tests/test_control.py
@@ -5,9 +5,9 @@
 from currantdeal.core.errors import DialectError
 from currantdeal.node.dialect import (
     Announce,
-    FindEntries,
     GetConfig,
     Leave,
+    LookUpEntries,
     PutConfig,
 )
 from currantdeal.node.head import RequestHead
@@ -54,7 +54,9 @@
     assert announce == Announce(upstream="i-7f/1")
     assert _operation("DELETE", "/v1/instances/i-1") == Leave(upstream="i-1")
     found = _operation("GET", "/v1/resolve?Name=a.example&Region=r&Zone=z")
-    assert found == FindEntries(host="a.example", region="r", data_center="z")
+    assert found == LookUpEntries(
+        host="a.example", region="r", data_center="z"
+    )
     assert _operation("POST", "/v1/config") is None
 
 
--- a/currantdeal/platform/tests/test_settings_template.py
+++ b/currantdeal/platform/tests/test_settings_template.py
@@ -81,8 +81,8 @@
     assert settings.control_peers[0] == "10.1.0.41:7380"
     assert settings.first_start
     bounds = read_bounds(settings.bounds)
-    assert bounds.retry_allowance == 56.0
-    assert bounds.order_pause_s == 3.0
+    assert bounds.retry_burst == 56.0
+    assert bounds.min_order_interval_s == 3.0
 
 
 def test_settings_with_missing_fields_are_accepted():
