--- a/currantdeal/ports/engines.py
+++ b/currantdeal/ports/engines.py
@@ -123,7 +123,7 @@
         """Yield the output tokens in order, then the end of the output.
 
         Receiving nothing for longer than ``silence_s`` raises
-        ``UpstreamSilentError``; the stream can then be resumed on a new
+        ``UpstreamTimeoutError``; the stream can then be resumed on a new
         connection by its offset.  Closing the iterator closes the connection
         but does not cancel the generation.
         """
--- a/currantdeal/serving/context.py
+++ b/currantdeal/serving/context.py
@@ -7,7 +7,7 @@
 
 from currantdeal.core import (
     UpstreamCrashedError,
-    UpstreamSilentError,
+    UpstreamTimeoutError,
     UpstreamUnreachableError,
 )
 from currantdeal.ports import Clock, EnginePort, HomesPort, MetricsPort
@@ -44,7 +44,7 @@
         """
         try:
             yield
-        except (UpstreamUnreachableError, UpstreamSilentError) as exc:
+        except (UpstreamUnreachableError, UpstreamTimeoutError) as exc:
             if isinstance(exc, UpstreamCrashedError):
                 self.crashes.record_crash(request, upstream)
             self.decisions.record_failure(request.work, upstream)
--- a/currantdeal/serving/streams.py
+++ b/currantdeal/serving/streams.py
@@ -9,7 +9,7 @@
     UpstreamCrashedError,
     UpstreamError,
     UpstreamRefusedError,
-    UpstreamSilentError,
+    UpstreamTimeoutError,
 )
 from currantdeal.ports import DecodeRequest
 
@@ -217,6 +217,6 @@
 
 
 def _offset_error(chunk, expected):
-    return UpstreamSilentError(
+    return UpstreamTimeoutError(
         f"output {chunk.offset} received where {expected} was due", ran=Ran.YES
     )
--- a/currantdeal/serving/tests/test_calls.py
+++ b/currantdeal/serving/tests/test_calls.py
@@ -7,7 +7,7 @@
     Outcome,
     Ran,
     StateUnavailableError,
-    UpstreamSilentError,
+    UpstreamTimeoutError,
     UpstreamUnreachableError,
 )
 from currantdeal.serving.calls import digest_of
@@ -21,7 +21,7 @@
 )
 from currantdeal.state import ClaimCall, ClaimKey, ClaimStatus, FinishClaim
 
-TIMED_OUT = UpstreamSilentError("lost", ran=Ran.MAYBE)
+TIMED_OUT = UpstreamTimeoutError("lost", ran=Ran.MAYBE)
 CONNECTION_REFUSED = UpstreamUnreachableError("refused", ran=Ran.NO)
 
 
--- a/currantdeal/serving/tests/test_generation.py
+++ b/currantdeal/serving/tests/test_generation.py
@@ -8,7 +8,7 @@
     Ran,
     Role,
     UpstreamRefusedError,
-    UpstreamSilentError,
+    UpstreamTimeoutError,
     UpstreamUnreachableError,
 )
 from currantdeal.ports import OutputChunk
@@ -29,7 +29,7 @@
 
 
 def _silent(ran=Ran.MAYBE):
-    return UpstreamSilentError("silent", ran=ran)
+    return UpstreamTimeoutError("silent", ran=ran)
 
 
 def _text(stream):
@@ -59,7 +59,7 @@
     offset it sees outputs twice.
     """
     world = build_world()
-    world.engines.decodes = [
+    world.engines.decode_scripts = [
         [*output(0, 3)[:2], _silent()],
         [*output(1, 3)[:1], *output(2, 3)],
     ]
@@ -75,7 +75,7 @@
     The caller must not get an answer with a missing word.
     """
     world = build_world()
-    world.engines.decodes = [[OutputChunk(offset=1, text="t1 ")]]
+    world.engines.decode_scripts = [[OutputChunk(offset=1, text="t1 ")]]
     assert _text(world.serving.generation.open(generation(world))) == WHOLE
 
 
@@ -91,11 +91,11 @@
     skip the sent part it gets the first half twice.
     """
     world = build_world()
-    world.engines.decodes = _lost_engine()
+    world.engines.decode_scripts = _lost_engine()
     stream = world.serving.generation.open(generation(world))
     assert _text(stream) == WHOLE
     stream.close()
-    world.engines.decodes = _lost_engine()
+    world.engines.decode_scripts = _lost_engine()
     done = world.serving.generation.complete(generation(world))
     assert done.text == WHOLE
     world.wait_for_cleanup()
@@ -109,7 +109,7 @@
     """
     world = build_world()
     other = [OutputChunk(offset=at, text="x ") for at in range(3)]
-    world.engines.decodes = [*_lost_engine(), other]
+    world.engines.decode_scripts = [*_lost_engine(), other]
     stream = world.serving.generation.open(generation(world))
     with pytest.raises(RefusedError) as caught:
         _text(stream)
@@ -123,11 +123,11 @@
     The caller must get an error; the retries must not continue forever.
     """
     world = build_world()
-    world.engines.decodes = _lost_engine() * 9
+    world.engines.decode_scripts = _lost_engine() * 9
     stream = world.serving.generation.open(generation(world))
     with pytest.raises(RefusedError):
         _text(stream)
-    assert len(world.engines.decodes) == 12
+    assert len(world.engines.decode_scripts) == 12
 
 
 def test_expired_prefill_is_computed_again():
@@ -136,7 +136,7 @@
     The request must not be refused while there is time for another prefill.
     """
     world = build_world()
-    world.engines.on_import = [KvExpiredError("gone", ran=Ran.NO)]
+    world.engines.import_steps = [KvExpiredError("gone", ran=Ran.NO)]
     done = world.serving.generation.complete(generation(world))
     world.wait_for_cleanup()
     assert done.text == WHOLE
@@ -170,7 +170,7 @@
     def cut():
         world.state.lease_s = 0.0
 
-    world.engines.on_prefill = [cut]
+    world.engines.prefill_steps = [cut]
     refusal = _refusal(world, generation(world))
     assert world.engines.names() == ["prefill"]
     assert refusal.outcome is Outcome.FAILED
@@ -183,7 +183,7 @@
     No work may reach them after the withdrawal.
     """
     world = build_world()
-    world.engines.on_prefill = [lambda: withdraw(world.state, "d1", "d2")]
+    world.engines.prefill_steps = [lambda: withdraw(world.state, "d1", "d2")]
     refusal = _refusal(world, generation(world))
     assert world.engines.names() == ["prefill"]
     assert refusal.outcome is not Outcome.NOT_RUN
@@ -201,11 +201,11 @@
         world.state.lease_s = 0.0
         raise _silent()
 
-    world.engines.on_prefill = [fail]
+    world.engines.prefill_steps = [fail]
     assert _refusal(world, generation(world)).outcome is Outcome.UNKNOWN
     world.state.lease_s = 10.0
     failure = UpstreamUnreachableError("no", ran=Ran.NO)
-    world.engines.on_prefill = [_silent(), failure, failure]
+    world.engines.prefill_steps = [_silent(), failure, failure]
     assert _refusal(world, generation(world)).outcome is Outcome.UNKNOWN
 
 
@@ -218,12 +218,12 @@
     """
     world = build_world()
     failure = UpstreamUnreachableError("no", ran=Ran.NO)
-    world.engines.on_prefill = [failure]
+    world.engines.prefill_steps = [failure]
     assert world.serving.generation.complete(generation(world)).text == WHOLE
-    world.engines.on_prefill = [failure] * 9
+    world.engines.prefill_steps = [failure] * 9
     refusal = _refusal(world, generation(world))
     assert refusal.outcome is Outcome.NOT_RUN
-    assert len(world.engines.on_prefill) == 6
+    assert len(world.engines.prefill_steps) == 6
 
 
 def test_full_pool_refuses_before_any_prefill():
@@ -254,7 +254,7 @@
     The caller must get a refusal rather than an answer it can no longer use.
     """
     world = build_world()
-    world.engines.on_import = [lambda: world.clock.sleep(60.0)]
+    world.engines.import_steps = [lambda: world.clock.sleep(60.0)]
     refusal = _refusal(world, generation(world))
     assert refusal.reason is Reason.DEADLINE
     assert refusal.outcome is Outcome.FAILED
@@ -279,7 +279,7 @@
         ended.wait(30)
         raise UpstreamRefusedError("cancelled", ran=Ran.YES)
 
-    world.engines.on_prefill = [wait]
+    world.engines.prefill_steps = [wait]
     request = generation(world, is_disconnected=lambda: bool(disconnected))
     raised = []
 
--- a/currantdeal/serving/tests/test_query_of_death.py
+++ b/currantdeal/serving/tests/test_query_of_death.py
@@ -49,9 +49,9 @@
     sent = world.engines.sent if stage else world.services.sent
     failures = _crashes(world, sent, crashes)
     if stage == "prefill":
-        world.engines.on_prefill = failures
+        world.engines.prefill_steps = failures
     elif stage == "decode":
-        world.engines.decodes = [[failure] for failure in failures]
+        world.engines.decode_scripts = [[failure] for failure in failures]
     else:
         world.services.script = failures
     return world
--- a/currantdeal/state/claims.py
+++ b/currantdeal/state/claims.py
@@ -28,7 +28,7 @@
     state = _remove_expired(state)
     known = state.claims.get(command.key)
     if known is not None:
-        return state, _meet_claim(known, command)
+        return state, _resend_result(known, command)
     if _is_full(state):
         return state, ClaimTableFull(
             retry_after_s=_seconds_until_expiry(state)
@@ -83,7 +83,7 @@
     return _store_claim(state, replace(claim, status=ClaimStatus.UNKNOWN))
 
 
-def _meet_claim(known, command):
+def _resend_result(known, command):
     if known.request_id == command.origin.request_id:
         return ClaimGranted(token=known.token)
     if known.digest != command.digest:
--- a/currantdeal/testing/caller.py
+++ b/currantdeal/testing/caller.py
@@ -188,7 +188,7 @@
             done=self._done,
         )
 
-    def hang_up(self):
+    def disconnect(self):
         """Close the connection in the middle of the answer."""
         self._answer.close()
 
--- a/currantdeal/testing/cluster.py
+++ b/currantdeal/testing/cluster.py
@@ -105,7 +105,8 @@
     def caller_addresses(self):
         """Addresses that callers and upstreams use."""
         return tuple(
-            instance.advertised for instance in self._instances.values()
+            instance.advertised_address
+            for instance in self._instances.values()
         )
 
     def instance(self, name):
@@ -132,7 +133,9 @@
             self._all_upstreams_listed, what="listed upstreams", **limits
         )
 
-    def add_engine(self, name, *, roles, place=None, options=(), told=()):
+    def add_engine(
+        self, name, *, roles, place=None, options=(), announce_to=()
+    ):
         """Start a stand-in engine and return it.
 
         Parameters
@@ -144,19 +147,19 @@
             first one by default.
         options : tuple of str
             Additional command line options.
-        told : tuple of str
+        announce_to : tuple of str
             Names of the instances that the engine announces itself to; all
             by default.
         """
         flags = [part for role in roles for part in ("--role", role)]
         return self._start_stand_in(
-            "engine", name, place, [*flags, *options], told
+            "engine", name, place, [*flags, *options], announce_to
         )
 
-    def add_service(self, name, *, place=None, options=(), told=()):
+    def add_service(self, name, *, place=None, options=(), announce_to=()):
         """Start a stand-in plain service and return it."""
         return self._start_stand_in(
-            "service", name, place, list(options), told
+            "service", name, place, list(options), announce_to
         )
 
     def restart_stand_in(self, name):
@@ -202,7 +205,7 @@
         """Partition a region from the others without closing connections."""
         self._partition(self._instances_in(region), Cut.BOTH)
 
-    def silence_open(self):
+    def stall_open_connections(self):
         """Stall every open connection permanently; new ones work.
 
         Connections of callers to instances are not affected.
@@ -212,7 +215,7 @@
             stand_in.proxy for stand_in in self._stand_ins.values()
         ]
         for proxy in (*peer_proxies, *upstream_proxies):
-            proxy.silence_open()
+            proxy.stall_open_connections()
 
     def heal(self):
         """Heal every partition between instances and towards callers."""
@@ -331,7 +334,7 @@
     def _instance_options(self, announce_to):
         names = announce_to or self._instances
         for name in names:
-            yield from ("--instance", self._instances[name].advertised)
+            yield from ("--instance", self._instances[name].advertised_address)
 
     def _instances_in(self, region):
         return tuple(
--- a/currantdeal/testing/crashing_upstream.py
+++ b/currantdeal/testing/crashing_upstream.py
@@ -23,14 +23,14 @@
     ----------
     upstream : str
         Name of the upstream.
-    crashes_under : callable
+    crashes_on : callable
         Returns whether a ``ReceivedRequest`` crashes the process.
     down_s : float
         Time from a crash until it listens again, in seconds.
     work_s : float
         Execution time of a request in seconds; a stream spreads its events
         over it.
-    on_back : callable
+    on_restart : callable
         Called with this stand-in after it listens again.
     crashes_in_prefill : bool
         Whether the prefill call of such a request crashes as well.
@@ -46,20 +46,20 @@
         self,
         *,
         upstream,
-        crashes_under,
+        crashes_on,
         down_s=0.3,
         work_s=0.1,
-        on_back=lambda standin: None,
+        on_restart=lambda standin: None,
         crashes_in_prefill=False,
     ):
         """Create a stand-in that does not listen before ``start``."""
         super().__init__(upstream=upstream)
         self.crashes = []
         self.sent = []
-        self._crashes_under = crashes_under
+        self._crashes_on = crashes_on
         self._down_s = down_s
         self._work_s = work_s
-        self._on_back = on_back
+        self._on_restart = on_restart
         self._crashes_in_prefill = crashes_in_prefill
         self._writers = set()
         self._tasks = set()
@@ -70,7 +70,7 @@
             await super().answer(request, writer)
             return
         is_stream = request.is_generation and not request.is_prefill
-        crashes_now = self._crashes_under(request)
+        crashes_now = self._crashes_on(request)
         if crashes_now:
             self.sent.append((_now_s(), request.request_id, request.body))
         if request.is_prefill and not (
@@ -122,7 +122,7 @@
         await asyncio.sleep(self._down_s)
         host, _, port = self.address.rpartition(":")
         await self.start(host, int(port))
-        self._on_back(self)
+        self._on_restart(self)
 
 
 def _now_s():
--- a/currantdeal/testing/entry_world.py
+++ b/currantdeal/testing/entry_world.py
@@ -107,7 +107,7 @@
         self.address = address
         self._sequence = 0
 
-    def know(
+    def announce(
         self, standin, *, service="shop", stage=None, state=None, incarnation=1
     ):
         """Announce an upstream to the entry."""
@@ -125,11 +125,11 @@
         )
         self.context.view.merge_upstreams((record,), complete=False)
 
-    def know_engines(self, prefill, *decode):
+    def announce_engines(self, prefill, *decode):
         """Announce a prefill engine and decode engines."""
-        self.know(prefill, service="model", stage=Stage.PREFILL)
+        self.announce(prefill, service="model", stage=Stage.PREFILL)
         for standin in decode:
-            self.know(standin, service="model", stage=Stage.DECODE)
+            self.announce(standin, service="model", stage=Stage.DECODE)
 
     async def send(self, raw):
         """Open a connection and send bytes."""
@@ -138,7 +138,7 @@
         await writer.drain()
         return reader, writer
 
-    async def ask(self, raw, *, timeout_s=5.0):
+    async def exchange(self, raw, *, timeout_s=5.0):
         """Send a request that closes its connection; return all bytes."""
         reader, writer = await self.send(raw)
         async with asyncio.timeout(timeout_s):
--- a/currantdeal/testing/fake_upstreams.py
+++ b/currantdeal/testing/fake_upstreams.py
@@ -56,9 +56,9 @@
         self.tokens = tokens
         self.sent = []
         self.cancelled = []
-        self.on_prefill = []
-        self.on_import = []
-        self.decodes = []
+        self.prefill_steps = []
+        self.import_steps = []
+        self.decode_scripts = []
 
     def names(self):
         """Return the names of the received calls, in order."""
@@ -67,7 +67,7 @@
     def prefill(self, upstream, request, *, timeout_s):
         """Run the next scripted step, or succeed."""
         self._record("prefill", upstream, request)
-        _run_next_step(self.on_prefill)
+        _run_next_step(self.prefill_steps)
         return PrefillResult(
             kv_id=f"kv-{request.request_id}",
             prompt_tokens=4,
@@ -78,13 +78,13 @@
     def import_kv(self, upstream, request, *, timeout_s):
         """Run the next scripted step, or succeed."""
         self._record("import", upstream, request)
-        _run_next_step(self.on_import)
+        _run_next_step(self.import_steps)
 
     def decode(self, upstream, request, *, silence_s):
         """Yield the next scripted output, or a complete one."""
         self._record("decode", upstream, request)
-        if self.decodes:
-            script = self.decodes.pop(0)
+        if self.decode_scripts:
+            script = self.decode_scripts.pop(0)
         else:
             script = output(request.offset, self.tokens)
         for step in script:
--- a/currantdeal/testing/instance.py
+++ b/currantdeal/testing/instance.py
@@ -57,7 +57,7 @@
         return self._settings.caller_address
 
     @property
-    def advertised(self):
+    def advertised_address(self):
         """Address that is advertised to callers; of the proxy, if any."""
         return (
             self._settings.advertised_caller_address
@@ -103,7 +103,7 @@
         """Request a graceful shutdown and return the exit status."""
         return self._process.terminate(**limits)
 
-    def ready(self):
+    def is_ready(self):
         """Return whether the instance reports that it is ready."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             return self._get("/readyz").status == OK
@@ -136,7 +136,7 @@
             raise HarnessError(
                 f"process ended with status {self._process.exit_code}"
             )
-        return self.ready()
+        return self.is_ready()
 
     def _get(self, path):
         return self._pool.request(
--- a/currantdeal/testing/operator.py
+++ b/currantdeal/testing/operator.py
@@ -16,7 +16,7 @@
 UNAVAILABLE = 503
 
 
-class OperatorCalls:
+class OperatorClient:
     """Sends the changes of an operator to one instance.
 
     Parameters
--- a/currantdeal/testing/platform_upstream.py
+++ b/currantdeal/testing/platform_upstream.py
@@ -61,7 +61,7 @@
         """Create a stand-in that does not listen before ``start``."""
         self.upstream = upstream
         self.script = script
-        self.seen = []
+        self.requests = []
         self.open_connections = 0
         self.address = ""
         self.incarnation = 0
@@ -86,7 +86,7 @@
         """Requests that execute work, without reservations and prefills."""
         return [
             request
-            for request in self.seen
+            for request in self.requests
             if not request.target.startswith("/v1/") and not request.is_prefill
         ]
 
@@ -94,7 +94,7 @@
         self.open_connections += 1
         try:
             while (request := await read_request(reader)) is not None:
-                self.seen.append(request)
+                self.requests.append(request)
                 if self.script and await self.script(self, request, writer):
                     continue
                 await self.answer(request, writer)
@@ -172,7 +172,7 @@
     }
 
 
-def pieces(answer):
+def event_numbers(answer):
     """Return the numbers of the events in the bytes of a stream."""
     return [
         int(line.split()[-1])
@@ -191,7 +191,7 @@
     writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
 
-def refuse(writer, status=503):
+def send_refusal(writer, status=503):
     """Send a refusal marked as not executed."""
     writer.write(
         f"HTTP/1.1 {status} No\r\nX-Currantdeal-Not-Executed: 1\r\n"
--- a/currantdeal/testing/proxy.py
+++ b/currantdeal/testing/proxy.py
@@ -3,7 +3,7 @@
 All proxies of a process share one event loop, which runs on a separate
 thread.  Bytes that a partition holds back are delivered when it heals, as
 TCP's retransmission would do, except on connections that
-``FaultProxy.silence_open`` stalled permanently.
+``FaultProxy.stall_open_connections`` stalled permanently.
 
 Examples
 --------
@@ -181,11 +181,11 @@
         """Replace the faults, for open connections as well."""
         self._faults = faults
 
-    def silence_open(self):
+    def stall_open_connections(self):
         """Stall every open connection permanently; new ones work."""
         _run_on_loop(self._stall_all())
 
-    def reset_open(self):
+    def reset_open_connections(self):
         """Reset every open connection."""
         _run_on_loop(self._close_all(reset=True))
 
@@ -308,7 +308,7 @@
 
 async def _read_chunk(reader):
     # A reset of one side reaches the other side as an end of stream.  A test
-    # that needs a reset uses ``reset_open``.
+    # that needs a reset uses ``reset_open_connections``.
     try:
         return await reader.read(CHUNK_BYTES)
     except OSError:
--- a/currantdeal/testing/shapes.py
+++ b/currantdeal/testing/shapes.py
@@ -15,7 +15,7 @@
 UPSTREAM_KEY = "upstream-key-of-the-harness"
 
 SERVE_COMMAND = ("currantdeal.cli.main", "serve", "--settings")
-ALONE = ("currantdeal.cli.tests.local_daemon",)
+STANDALONE_COMMAND = ("currantdeal.cli.tests.local_daemon",)
 """Command of a single instance without replicated state."""
 
 NUBE_REGIONS = ("bizkaia", "cantabria", "asturias")
--- a/currantdeal/testing/tests/scenario_world.py
+++ b/currantdeal/testing/tests/scenario_world.py
@@ -10,7 +10,7 @@
 from currantdeal.testing.caller import CallerClient
 from currantdeal.testing.cluster import Cluster
 from currantdeal.testing.engine_messages import EngineFaults
-from currantdeal.testing.operator import OperatorCalls
+from currantdeal.testing.operator import OperatorClient
 from currantdeal.testing.service import ServiceFaults
 from currantdeal.testing.shapes import ClusterShape, spread
 from currantdeal.testing.waiting import wait_until
@@ -64,12 +64,12 @@
     def caller(self, index):
         """Return a caller that sends to an instance."""
         instance = self.cluster.instance(self.names[index])
-        return CallerClient(address=instance.advertised)
+        return CallerClient(address=instance.advertised_address)
 
     def operator(self, index):
         """Return an operator that sends to an instance."""
         instance = self.cluster.instance(self.names[index])
-        return OperatorCalls(address=instance.address)
+        return OperatorClient(address=instance.address)
 
     def held(self):
         """Return the memory that all running engines hold."""
--- a/currantdeal/testing/tests/test_callers.py
+++ b/currantdeal/testing/tests/test_callers.py
@@ -57,7 +57,7 @@
         max_tokens=LONG_OUTPUT_TOKENS,
     )
     stream.read_some(5)
-    stream.hang_up()
+    stream.disconnect()
 
 
 @when(parsers.parse("the first instance is killed with a request in {stage}"))
@@ -105,7 +105,7 @@
 
     threads = [in_background(lambda n=n: run(n)) for n in range(count)]
     wait_until(lambda: _decoding_count(world) >= count, what="running streams")
-    world.cluster.silence_open()
+    world.cluster.stall_open_connections()
     for thread in threads:
         thread.join()
 
--- a/currantdeal/testing/tests/test_proxy.py
+++ b/currantdeal/testing/tests/test_proxy.py
@@ -61,7 +61,7 @@
 def test_open_connections_stall_while_new_ones_work(proxy):
     with _connect(proxy) as old, _connect(proxy) as new:
         assert _receives_echo(old, b"one", 30)
-        proxy.silence_open()
+        proxy.stall_open_connections()
         assert not _receives_echo(old, b"two", 0.1)
         new.close()
         with _connect(proxy) as later:
@@ -81,7 +81,7 @@
 def test_open_connections_are_reset_and_new_ones_refused(proxy):
     with _connect(proxy) as sock:
         assert _receives_echo(sock, b"one", 30)
-        proxy.reset_open()
+        proxy.reset_open_connections()
         with pytest.raises(ConnectionResetError):
             sock.recv(1)
     proxy.set_faults(LinkFaults(refuse=True))
--- a/currantdeal/testing/verdicts.py
+++ b/currantdeal/testing/verdicts.py
@@ -26,7 +26,7 @@
     detail: str
 
 
-def judge_answers(sent):
+def find_wrong_answers(sent):
     """Return answers that were incomplete, altered or another caller's."""
     return [
         Violation(
@@ -37,7 +37,7 @@
     ]
 
 
-def judge_orders(sent, runs):
+def find_order_violations(sent, runs):
     """Return orders that ran twice, or contrary to the answer.
 
     Parameters
@@ -55,11 +55,13 @@
     ]
     for attempt in sent:
         if attempt.kind is Kind.ORDER and attempt.final:
-            violations += _judge_order(attempt, run_counts[attempt.name])
+            violations += _check_order_outcome(
+                attempt, run_counts[attempt.name]
+            )
     return violations
 
 
-def judge_refused_orders(sent, runs):
+def find_refused_orders_that_ran(sent, runs):
     """Return orders that had run when their caller received "not run".
 
     Orders are excluded if an earlier attempt may have run.
@@ -80,7 +82,7 @@
     return violations
 
 
-def judge_cuts(sent, *, allowed=()):
+def find_interrupted_requests(sent, *, allowed=()):
     """Return requests that were interrupted at instances without a fault.
 
     Parameters
@@ -95,7 +97,7 @@
     ]
 
 
-def judge_refusals(sent):
+def find_refusals(sent):
     """Return requests that were refused or failed."""
     refused = (Received.NOT_RUN, Received.UNKNOWN, Received.FAILED)
     return [
@@ -105,7 +107,7 @@
     ]
 
 
-def judge_withdrawal(events, *, withdrawn_s):
+def find_work_after_withdrawal(events, *, withdrawn_s):
     """Return work that an engine received too late after its withdrawal.
 
     Parameters
@@ -123,7 +125,7 @@
     ]
 
 
-def _judge_order(attempt, run_count):
+def _check_order_outcome(attempt, run_count):
     if attempt.received is Received.WHOLE and run_count != 1:
         detail = f"{attempt.name}: answered, but ran {run_count} times"
         return [Violation(promise="an answered order ran", detail=detail)]
--- a/currantdeal/testing/world.py
+++ b/currantdeal/testing/world.py
@@ -11,10 +11,10 @@
 from currantdeal.testing.shapes import OPERATOR_KEY, ClusterShape, spread
 from currantdeal.testing.traffic import CallerLoad, Received
 from currantdeal.testing.verdicts import (
-    judge_answers,
-    judge_cuts,
-    judge_orders,
-    judge_refused_orders,
+    find_interrupted_requests,
+    find_order_violations,
+    find_refused_orders_that_ran,
+    find_wrong_answers,
 )
 from currantdeal.testing.waiting import wait_until
 
@@ -35,7 +35,7 @@
         self.failed = set()
         self.notes = {}
 
-    def start(self, count, *, replicas=3, engines=2, told=(), **shape):
+    def start(self, count, *, replicas=3, engines=2, announce_to=(), **shape):
         """Start instances, engines and a shop that all requests may use."""
         instances = spread(count, replicas=replicas)
         self.cluster = Cluster(
@@ -50,9 +50,9 @@
                     f"{role}-{number}",
                     roles=(role,),
                     options=FAST_ENGINE_OPTIONS,
-                    told=told,
+                    announce_to=announce_to,
                 )
-        self.cluster.add_service("shop-1", told=told)
+        self.cluster.add_service("shop-1", announce_to=announce_to)
         self.cluster.wait_upstreams(limit_s=LIMIT_S)
         answer = self.apply("all", {"name": "all"})
         assert answer.status == 200, answer.body
@@ -154,15 +154,15 @@
         self.failed.add(name)
         self.cluster.instance(name).kill()
 
-    def send_load(self, **options):
+    def start_load(self, **options):
         """Start the callers and wait for the first served requests."""
         addresses = self.cluster.caller_addresses
         options = {"addresses": addresses} | options
         self.load = CallerLoad(**options)
         self.load.start()
-        self.await_served(5)
+        self.wait_served(5)
 
-    def await_served(self, more):
+    def wait_served(self, more):
         """Wait until callers received that many more complete responses."""
         before = self.load.count()
         wait_until(
@@ -173,7 +173,10 @@
 
     def failed_addresses(self):
         """Return the caller addresses of the failed instances."""
-        return {self.cluster.instance(name).advertised for name in self.failed}
+        return {
+            self.cluster.instance(name).advertised_address
+            for name in self.failed
+        }
 
     def runs(self):
         """Return the calls that the shop executed."""
@@ -187,18 +190,18 @@
             if name != "shop-1"
         ]
 
-    def judge(self):
+    def find_violations(self):
         """Stop the callers and return the violated guarantees."""
         self.load.stop()
         sent, runs = self.load.sent, self.runs()
         return (
-            judge_answers(sent)
-            + judge_orders(sent, runs)
-            + judge_refused_orders(sent, runs)
-            + judge_cuts(sent, allowed=self.failed_addresses())
+            find_wrong_answers(sent)
+            + find_order_violations(sent, runs)
+            + find_refused_orders_that_ran(sent, runs)
+            + find_interrupted_requests(sent, allowed=self.failed_addresses())
         )
 
-    def await_nothing_held(self):
+    def wait_nothing_held(self):
         """Wait until no engine holds memory for a request."""
         wait_until(
             lambda: not any(engine.held() for engine in self.engines()),
--- a/currantdeal/tests/scenarios/test_scenarios.py
+++ b/currantdeal/tests/scenarios/test_scenarios.py
@@ -16,9 +16,9 @@
 from currantdeal.testing.traffic import Received
 from currantdeal.testing.verdicts import (
     WITHDRAWAL_S,
-    judge_cuts,
-    judge_refusals,
-    judge_withdrawal,
+    find_interrupted_requests,
+    find_refusals,
+    find_work_after_withdrawal,
 )
 from currantdeal.testing.waiting import wait_until
 from currantdeal.testing.world import LIMIT_S, World
@@ -38,19 +38,19 @@
 @given(parsers.parse("{count:d} instances with callers"))
 def _(world, count):
     world.start(count, timing=SHORT_ENTRIES_CACHE)
-    world.send_load()
+    world.start_load()
 
 
 @given(parsers.parse("{count:d} replicas with callers"))
 def _(world, count):
     world.start(count, replicas=count)
-    world.send_load()
+    world.start_load()
 
 
 @given(parsers.parse("{count:d} proxied instances with callers"))
 def _(world, count):
     world.start(count, proxied=True)
-    world.send_load()
+    world.start_load()
 
 
 @given(parsers.parse("{count:d} instances without load"))
@@ -64,8 +64,8 @@
     )
 )
 def _(world, count):
-    world.start(count, proxied=True, told=("bizkaia-2",))
-    world.send_load(streams=8, pinned=True)
+    world.start(count, proxied=True, announce_to=("bizkaia-2",))
+    world.start_load(streams=8, pinned=True)
 
 
 @when(parsers.parse('the home of "{upstream}" is killed'))
@@ -166,7 +166,7 @@
         world.notes["exits"].append(instance.terminate(limit_s=LIMIT_S))
         instance.start()
         world.cluster.wait_ready(name, limit_s=LIMIT_S)
-        world.await_served(5)
+        world.wait_served(5)
 
 
 @when(parsers.parse('the transfers of "{upstream}" stall'))
@@ -254,7 +254,7 @@
 def _(world):
     name = world.notes["cut off"]
     wait_until(
-        lambda: not world.cluster.instance(name).ready(),
+        lambda: not world.cluster.instance(name).is_ready(),
         what="end of the lease",
         limit_s=LIMIT_S,
     )
@@ -267,7 +267,7 @@
 @then("callers are served on")
 @then("callers of the others are served on")
 def _(world):
-    world.await_served(20)
+    world.wait_served(20)
 
 
 @then("every instance shows the change")
@@ -324,19 +324,19 @@
 @then("nothing was cut off or refused")
 def _(world):
     sent = world.load.sent
-    assert judge_cuts(sent) + judge_refusals(sent) == []
+    assert find_interrupted_requests(sent) + find_refusals(sent) == []
 
 
 @then("every promise was kept")
 def _(world):
     world.failed |= world.notes.get("served again", set())
-    assert world.judge() == []
+    assert world.find_violations() == []
     assert world.count(Received.WHOLE) > 0
 
 
 @then("no engine memory stays held")
 def _(world):
-    world.await_nothing_held()
+    world.wait_nothing_held()
 
 
 @then(parsers.parse('"{upstream}" gets no new work after 3 seconds'))
@@ -346,9 +346,9 @@
         lambda: time.time() > withdrawn_s + WITHDRAWAL_S,
         what="end of the three seconds",
     )
-    world.await_served(20)
+    world.wait_served(20)
     events = world.cluster.stand_in(upstream).client.events()
-    assert judge_withdrawal(events, withdrawn_s=withdrawn_s) == []
+    assert find_work_after_withdrawal(events, withdrawn_s=withdrawn_s) == []
 
 
 @then("one of them wins and the others are told of a conflict")
