--- a/benchmarks/experiments/partition.py
+++ b/benchmarks/experiments/partition.py
@@ -1,6 +1,6 @@
-"""Measures a partition: the leader is cut off under load, then reconnected.
+"""Measures a partition of the leader under load, and its reconnection.
 
-The cut is silent: connections stay open but carry nothing.
+The partition is silent: connections stay open but carry nothing.
 """
 
 from benchmarks.failure_runs import FailureRun
--- a/benchmarks/experiments/withdrawal.py
+++ b/benchmarks/experiments/withdrawal.py
@@ -1,6 +1,6 @@
 """Measures the withdrawal of an engine under load.
 
-One instance is cut off from the others when the operator withdraws the engine.
+One instance is partitioned when the operator withdraws the engine.
 """
 
 from benchmarks.failure_runs import FailureRun
--- a/benchmarks/soak_crashes.py
+++ b/benchmarks/soak_crashes.py
@@ -2,8 +2,8 @@
 
 A query of death is a request that crashes every upstream that runs it.  Its
 callers resend it to random entries while entries and control instances are
-killed, paused, stopped, cut off and lose disks.  Verified are how often such
-requests still reach upstreams, and the answers to all other requests.
+killed, paused, stopped, partitioned and lose disks.  Verified are how often
+such requests still reach upstreams, and the answers to all other requests.
 """
 
 import asyncio
--- a/currantdeal/adapters/homes_actor.py
+++ b/currantdeal/adapters/homes_actor.py
@@ -217,7 +217,7 @@
         if home is None:
             return
         for answer in message.answers:
-            self._home_registry.adopt(message.upstream_id, answer, now_s)
+            self._home_registry.restore(message.upstream_id, answer, now_s)
         self._cancel_orphans(home, message.held)
         home.set_phase(Phase.OPEN)
 
@@ -320,8 +320,9 @@
 
     def _cancel_all(self, cancels):
         if self._state.lease_remaining_s() <= 0:
-            # Another instance may have become home and adopted the requests.
-            # Its check of held memory finds any that are left over.
+            # Another instance may have become home and restored the
+            # reservations.  Its check of held memory finds any requests that
+            # are left over.
             return
         by_upstream = defaultdict(list)
         for cancel in cancels:
--- a/currantdeal/adapters/homes_calls.py
+++ b/currantdeal/adapters/homes_calls.py
@@ -77,7 +77,7 @@
     def _call(self, instance, rpc, timeout_s):
         address = self._address_of(instance)
         if not address:
-            raise PeerError(f"{instance}: peer address unknown", sent=False)
+            raise PeerError(f"{instance}: no address known", sent=False)
         try:
             return self._pool.call(
                 address, SERVICE, Homes.Client, rpc, timeout_s=timeout_s
--- a/currantdeal/adapters/homes_server.py
+++ b/currantdeal/adapters/homes_server.py
@@ -84,7 +84,7 @@
 
         From now on this instance renews them at the new home.
         """
-        held = self._reservations.adopt(
+        held = self._reservations.set_home(
             call.upstream_id, home=call.home, fence=call.fence
         )
         return ClaimsAnswer(
--- a/currantdeal/adapters/http/operator.py
+++ b/currantdeal/adapters/http/operator.py
@@ -292,8 +292,8 @@
         return json_response({"records": records})
 
     def _progress(self):
-        # An instance that is cut off must still report its view, since that
-        # is when an operator needs the status.
+        # A partitioned instance must still report its view, since that is
+        # when an operator needs the status.
         try:
             return self._state.progress()
         except StateUnavailableError:
--- a/currantdeal/adapters/http/upstreams.py
+++ b/currantdeal/adapters/http/upstreams.py
@@ -84,7 +84,7 @@
         if report.upstream_id != name:
             raise bad_request("upstream_id: not the one in the path")
         if self._state.lease_remaining_s() <= 0.0:
-            # An instance that is cut off cannot relay the renewal.  If it
+            # A partitioned instance cannot relay the renewal.  If it
             # accepted it, the upstream would keep renewing here, the others
             # would retire it as silent, and it would get no work until the
             # partition ends.
--- a/currantdeal/adapters/replication/lease_renewer.py
+++ b/currantdeal/adapters/replication/lease_renewer.py
@@ -2,7 +2,7 @@
 
 The lease ends at the instance's own time of *sending* the renewal plus the
 remaining time that the leader returns [1]_.  Any delay of the renewal on its
-way only shortens the lease.  So an instance that was cut off, paused or
+way only shortens the lease.  So an instance that was partitioned, paused or
 delayed stops assigning work in time, without having to detect the failure.
 
 References
--- a/currantdeal/adapters/replication/port.py
+++ b/currantdeal/adapters/replication/port.py
@@ -22,7 +22,7 @@
 ATTEMPT_TIMEOUT_S = 1.0
 """Timeout of one attempt to propose a command, in seconds.
 
-A leader that is cut off leaves its followers' calls open without an answer.
+A partitioned leader leaves its followers' calls open without an answer.
 A change that waited for it until the caller's timeout would fail, although
 another leader is elected after one or two seconds.  So the change is proposed
 again under the same request id, which ensures that it is applied once.
--- a/currantdeal/adapters/settings.py
+++ b/currantdeal/adapters/settings.py
@@ -75,7 +75,7 @@
     Parameters
     ----------
     lease_s : float
-        Lease on the replicated state; an instance that is cut off stops
+        Lease on the replicated state; an instance that is partitioned stops
         starting new work within this time.  It must be below the three
         seconds that a withdrawal may take.
     renew_s : float
--- a/currantdeal/cli/account.py
+++ b/currantdeal/cli/account.py
@@ -8,9 +8,9 @@
 
 import click
 
-from currantdeal.cli.causes import Cause, find_cause, parse_request_end
+from currantdeal.cli.loss_causes import Cause, find_cause, parse_request_end
 from currantdeal.cli.output import print_table
-from currantdeal.cli.story import read_line
+from currantdeal.cli.request_history import read_line
 
 DEFAULT_SPAN_S = 2.0
 """Default length of one time span, in seconds."""
--- a/currantdeal/cli/entry_process.py
+++ b/currantdeal/cli/entry_process.py
@@ -91,7 +91,7 @@
             view=self._view,
             own_record=self._own_record,
             seeds=lambda: self._file.current.control_peers,
-            take_demand=self._context.take_demand,
+            collect_demand=self._context.collect_demand,
             report_load=self._context.report_load,
             update_load=self._context.update_load,
             record_local_prefill=self._context.record_local_prefill,
--- a/currantdeal/cli/explain.py
+++ b/currantdeal/cli/explain.py
@@ -2,7 +2,7 @@
 
 import click
 
-from currantdeal.cli.story import RequestHistory, format_line
+from currantdeal.cli.request_history import RequestHistory, format_line
 
 EXIT_NOT_FOUND = 1
 
--- a/currantdeal/cli/tests/test_explain.py
+++ b/currantdeal/cli/tests/test_explain.py
@@ -5,7 +5,7 @@
 from click.testing import CliRunner
 
 from currantdeal.cli.main import main
-from currantdeal.cli.story import MAX_LINES
+from currantdeal.cli.request_history import MAX_LINES
 
 REQUEST = "6ceed88239312df3"
 
--- a/currantdeal/control/tests/test_orders.py
+++ b/currantdeal/control/tests/test_orders.py
@@ -23,7 +23,7 @@
 
     async def read(self):
         if not self._certain:
-            raise NotCertainError("cut off")
+            raise NotCertainError("partitioned")
 
 
 class _Service:
--- a/currantdeal/entry/context.py
+++ b/currantdeal/entry/context.py
@@ -109,9 +109,9 @@
         """Return the ``DemandMeter`` of a service."""
         return self._meters.setdefault(service, DemandMeter())
 
-    def take_demand(self):
+    def collect_demand(self):
         """Return the demand of each service since the last call."""
-        return {name: m.take() for name, m in self._meters.items()}
+        return {name: m.collect() for name, m in self._meters.items()}
 
     def report_load(self):
         """Return the load of this entry, as reported to the others."""
@@ -253,7 +253,7 @@
             return CallKind.IDEMPOTENT
         return CallKind.NON_IDEMPOTENT
 
-    def note_output(self, now_s):
+    def record_output(self, now_s):
         """Record the time of output that is sent to the caller."""
         if self._last_output_s is None:
             self.first_output_s = now_s
--- a/currantdeal/entry/crash_watch.py
+++ b/currantdeal/entry/crash_watch.py
@@ -94,7 +94,7 @@
         )
         return score < EARLY_WEIGHT
 
-    def note_lost_run(self, active, record, phase, *, events=0):
+    def check_lost_run(self, active, record, phase, *, events=0):
         """Check whether a lost run ended with a crash of its upstream.
 
         The check runs in the background.  If the upstream was draining, its
@@ -125,7 +125,7 @@
             )
         )
 
-    def note_completion(self, active):
+    def record_completion(self, active):
         """Clear a request that an upstream has answered in full."""
         if self._crash_registry and self._crash_registry.is_suspect(
             active.fingerprint
--- a/currantdeal/entry/events.py
+++ b/currantdeal/entry/events.py
@@ -49,7 +49,7 @@
             end = len(self._buffer)
         complete, self._buffer = self._buffer[:end], self._buffer[end:]
         self._count += complete.count(b"\ndata:")
-        self._note_ids(complete)
+        self._record_ids(complete)
         return complete
 
     def drop_partial_event(self):
@@ -59,7 +59,7 @@
         """
         self._buffer = b""
 
-    def _note_ids(self, complete):
+    def _record_ids(self, complete):
         at = max(complete.rfind(b"\nid:"), -1)
         if at < 0 and not complete.startswith(b"id:"):
             return
--- a/currantdeal/entry/generation.py
+++ b/currantdeal/entry/generation.py
@@ -265,7 +265,7 @@
         except ConnectError as exc:
             self._reason = str(exc)
             self._unused_prefill = prefill
-            self._reserver.note_unreachable(record, exc)
+            self._reserver.record_unreachable(record, exc)
             return False
         context.health.request_started(record.upstream)
         try:
@@ -307,7 +307,7 @@
             head, lambda: self._wait_or_fail_over(connection.chunk(), record)
         )
         context.health.record_answer(record.upstream, error=False)
-        context.crash_watch.note_completion(active)
+        context.crash_watch.record_completion(active)
         self._record_memory_use(self._now_s - began_s)
         return True
 
@@ -327,7 +327,7 @@
     async def _forward_error(self, connection, head, record):
         body = await connection.rest()
         self._context.health.record_answer(record.upstream, error=True)
-        self._context.crash_watch.note_completion(self._active)
+        self._context.crash_watch.record_completion(self._active)
         self._active.add_step(StepKind.ERROR, record.upstream, head.status)
         self._reason = f"resumed run failed with {head.status}"
         return self._relay.forward_error(head, body)
@@ -380,11 +380,11 @@
         self._reason = str(exc)
         if isinstance(exc, InvalidResponseError):
             events = self._relay.events - self._events_before_run
-            self._context.crash_watch.note_lost_run(
+            self._context.crash_watch.check_lost_run(
                 active, record, phase, events=events
             )
         self._reserver.exclude(record)
-        self._reserver.note_unreachable(record, exc)
+        self._reserver.record_unreachable(record, exc)
         _log.info(
             "stream-broken",
             request=active.call.request_id,
--- a/currantdeal/entry/memory.py
+++ b/currantdeal/entry/memory.py
@@ -152,7 +152,7 @@
         )
         release(self._context, reservation.record.address, call)
 
-    def note_unreachable(self, record, exc):
+    def record_unreachable(self, record, exc):
         """Eject an engine that is unreachable or lost its connection."""
         context = self._context
         context.eject(record, context.health)
@@ -178,7 +178,7 @@
                 retryable=True,
             )
         except ExchangeError as exc:
-            self.note_unreachable(record, exc)
+            self.record_unreachable(record, exc)
             return None
         metadata = context.dialect.read_response(head)
         context.view.drop_if_replaced(record, metadata.answered_by)
--- a/currantdeal/entry/plain.py
+++ b/currantdeal/entry/plain.py
@@ -157,7 +157,7 @@
     else:
         context.health.record_answer(record.upstream, error=True)
     if isinstance(exc, InvalidResponseError):
-        context.crash_watch.note_lost_run(active, record, exc.phase)
+        context.crash_watch.check_lost_run(active, record, exc.phase)
     active.add_failure_step(record.upstream, exc)
     return _AttemptResult(retryable=outcome.retryable_by_entry)
 
@@ -182,7 +182,7 @@
         context.health.record_answer(record.upstream, error=True)
         active.add_step(StepKind.ERROR, record.upstream, "not its answer")
         return _AttemptResult(retryable=retryable)
-    context.crash_watch.note_completion(active)
+    context.crash_watch.record_completion(active)
     error = head.status >= 500
     context.health.record_answer(record.upstream, error=error)
     active.add_step(
@@ -197,7 +197,7 @@
 
 def _forward(context, active, answer):
     headers = context.dialect.response_headers(answer.head)
-    active.note_output(context.now_s)
+    active.record_output(context.now_s)
     active.responder.answer(answer.head.status, headers, answer.body)
 
 
--- a/currantdeal/entry/prefill.py
+++ b/currantdeal/entry/prefill.py
@@ -202,7 +202,7 @@
     except ExchangeError as exc:
         _handle_failed_prefill(context, record, exc, began_s)
         if isinstance(exc, InvalidResponseError):
-            context.crash_watch.note_lost_run(active, record, exc.phase)
+            context.crash_watch.check_lost_run(active, record, exc.phase)
         active.add_failure_step(record.upstream, exc)
         raise PrefillFailedError(str(exc), maybe_running=exc.sent) from exc
     finally:
--- a/currantdeal/entry/relay.py
+++ b/currantdeal/entry/relay.py
@@ -90,7 +90,7 @@
     async def _send(self, head, data):
         if not self._started:
             self._begin(head)
-        self._active.note_output(self._context.now_s)
+        self._active.record_output(self._context.now_s)
         await self._active.responder.send(data)
 
     def _begin(self, head):
--- a/currantdeal/entry/subscription.py
+++ b/currantdeal/entry/subscription.py
@@ -62,7 +62,7 @@
         sequence.
     seeds : callable
         Returns the control addresses from the settings.
-    take_demand : callable
+    collect_demand : callable
         Returns the demand of each service since the last call.
     report_load : callable
         Returns the ``PoolLoad`` of this entry.
@@ -83,7 +83,7 @@
         view,
         own_record,
         seeds,
-        take_demand,
+        collect_demand,
         report_load,
         update_load,
         record_local_prefill,
@@ -94,7 +94,7 @@
         self._view = view
         self._own_record = own_record
         self._seeds = seeds
-        self._take_demand = take_demand
+        self._collect_demand = collect_demand
         self._report_load = report_load
         self._update_load = update_load
         self._record_local_prefill = record_local_prefill
@@ -115,7 +115,7 @@
         if self._connection is not None and self._connection.is_open:
             self._connection.notify(
                 EntryNotice(
-                    entry=self._own_record(), demand=self._take_demand()
+                    entry=self._own_record(), demand=self._collect_demand()
                 )
             )
 
@@ -329,7 +329,7 @@
 
     @_handle_notice.register
     def _(self, message: SwitchingNotice):
-        self._view.note_switching(message.upstream, message.for_s)
+        self._view.record_switching(message.upstream, message.for_s)
 
     @_handle_notice.register
     def _(self, message: LoadNotice):
--- a/currantdeal/entry/tests/test_subscription.py
+++ b/currantdeal/entry/tests/test_subscription.py
@@ -45,7 +45,7 @@
         view=view,
         own_record=an_entry,
         seeds=lambda: [c.address for c in seeds],
-        take_demand=dict,
+        collect_demand=dict,
         report_load=lambda: load.report(unreachable=()),
         update_load=lambda sums: load.update_sums(sums, now_s=loop.time()),
         record_local_prefill=lambda upstream, for_s: None,
--- a/currantdeal/entry/tests/test_view.py
+++ b/currantdeal/entry/tests/test_view.py
@@ -89,7 +89,7 @@
     engine = an_upstream(stage=Stage.DECODE)
     view.merge_upstreams((engine,), complete=False)
     assert view.engines("shop", Stage.DECODE) == [engine]
-    view.note_switching("u1", 9.0)
+    view.record_switching("u1", 9.0)
     assert view.engines("shop", Stage.DECODE) == []
     switched = an_upstream(stage=Stage.PREFILL, sequence=2)
     view.merge_upstreams((switched,), complete=False)
@@ -107,7 +107,7 @@
     view.merge_upstreams(
         (an_upstream(stage=Stage.DECODE, started_ms=1),), complete=False
     )
-    view.note_switching("u1", 20.0)
+    view.record_switching("u1", 20.0)
     assert view.engines("shop", Stage.DECODE) == []
     restarted = an_upstream(stage=Stage.DECODE, started_ms=2)
     view.merge_upstreams((restarted,), complete=False)
--- a/currantdeal/entry/view.py
+++ b/currantdeal/entry/view.py
@@ -130,7 +130,7 @@
         replaced, self._replaced = self._replaced, []
         return tuple(replaced)
 
-    def note_switching(self, upstream, for_s):
+    def record_switching(self, upstream, for_s):
         """Omit an engine for a time, or until it announces another stage."""
         record = self._registry.get(upstream)
         if record is not None:
--- a/currantdeal/membership/grants.py
+++ b/currantdeal/membership/grants.py
@@ -31,7 +31,7 @@
     request : ReservationRequest
         Original request.
     home : InstanceId
-        Home that received the request or has adopted the reservation.
+        Home that received the request or has taken over the reservation.
     fence : FencingNumber
         Fencing number of the home.
     pieces : int
@@ -156,7 +156,7 @@
         with self._lock:
             return {held.home for held in self._held.values()}
 
-    def adopt(self, upstream_id, *, home, fence):
+    def set_home(self, upstream_id, *, home, fence):
         """Move the reservations on an upstream to a new home; return them.
 
         Reservations with the same or a later fencing number are not moved,
--- a/currantdeal/membership/home.py
+++ b/currantdeal/membership/home.py
@@ -213,7 +213,7 @@
         self._granted_s.pop(request_id, None)
         self._ledger.release(request_id)
 
-    def adopt(self, claimed, now_s):
+    def restore(self, claimed, now_s):
         """Add a reservation that an entry claims to hold to the ledger."""
         request = replace(
             _ledger_request(claimed.request), pieces=claimed.pieces
@@ -222,7 +222,7 @@
             self._granted_s[request.request_id] = now_s
             self._ledger.restore(request, now_s=now_s)
 
-    def drop_entry(self, entry):
+    def release_entry(self, entry):
         """Release all grants of an entry and return their request ids."""
         released = self._ledger.release_entry(entry)
         names = [grant.request.request_id for grant in released]
--- a/currantdeal/membership/home_registry.py
+++ b/currantdeal/membership/home_registry.py
@@ -180,7 +180,7 @@
             return False, ()
         return False, (_cancel(call.upstream_id, victim),)
 
-    def adopt(self, upstream_id, answer, now_s):
+    def restore(self, upstream_id, answer, now_s):
         """Add the reservations that an entry claims to the ledger."""
         home = self._homes.get(upstream_id)
         if home is None:
@@ -189,7 +189,7 @@
             return
         self._register_entry(answer.entry, answer.process, now_s)
         for claimed in answer.claimed:
-            home.adopt(claimed, now_s)
+            home.restore(claimed, now_s)
 
     def sync(self, heartbeat, now_s):
         """Return the answer to a heartbeat, and the requests to cancel."""
@@ -251,7 +251,7 @@
         for name, entry in list(self._entries.items()):
             if entry.last_heartbeat_s < oldest_s:
                 del self._entries[name]
-                cancels += self._drop_entry(name)
+                cancels += self._release_entry(name)
         return cancels
 
     def unresponsive_upstreams(self, now_s):
@@ -289,7 +289,7 @@
         self._entries[entry] = _Entry(process=process, last_heartbeat_s=now_s)
         # The entry has restarted, so the callers' connections to its former
         # process no longer exist.
-        return self._drop_entry(entry) if current is not None else ()
+        return self._release_entry(entry) if current is not None else ()
 
     def _list_wanted(self, heartbeat):
         ledger_digest = digest_of(self._reservation_keys(heartbeat.entry))
@@ -338,11 +338,11 @@
                 cancels += (_cancel(upstream_id, request_id),)
         return cancels
 
-    def _drop_entry(self, entry):
+    def _release_entry(self, entry):
         return tuple(
             _cancel(home.upstream.upstream_id, request_id)
             for home in self._homes.values()
-            for request_id in home.drop_entry(entry)
+            for request_id in home.release_entry(entry)
         )
 
     def _loads_after(self, number):
--- a/currantdeal/membership/tests/test_home_registry.py
+++ b/currantdeal/membership/tests/test_home_registry.py
@@ -141,7 +141,7 @@
     claimed = ClaimedGrant(request=_request("r1"), pieces=80)
     answer = ClaimsAnswer(entry="i2", process=1, claimed=(claimed,))
     assert isinstance(_reserve(home_registry, "r2", 0.0)[0], HomeRefusal)
-    home_registry.adopt("decode-1", answer, 0.0)
+    home_registry.restore("decode-1", answer, 0.0)
     home.set_phase(Phase.OPEN)
     assert isinstance(
         _reserve(home_registry, "r2", 0.0, pieces=30)[0], HomeRefusal
--- a/currantdeal/policy/demand.py
+++ b/currantdeal/policy/demand.py
@@ -80,10 +80,10 @@
     >>> meter.record_prefill(1000, 0.1)
     >>> meter.record_offered()
     >>> meter.record_completed(3000, 2.0)
-    >>> meter.take()  # doctest: +NORMALIZE_WHITESPACE
+    >>> meter.collect()  # doctest: +NORMALIZE_WHITESPACE
     Demand(offered=1, ended=1, prompt_tokens=1000, s_per_token=0.0001,
            memory_token_s=6000.0)
-    >>> meter.take().prompt_tokens
+    >>> meter.collect().prompt_tokens
     0
     """
 
@@ -117,11 +117,11 @@
         """Record a completed stream and the memory that it held."""
         self._demand += Demand(ended=1, memory_token_s=tokens * held_s)
 
-    def take(self):
+    def collect(self):
         """Return the demand since the last call, and reset it."""
         speed = Demand(s_per_token=self._s_per_token or 0.0)
-        taken, self._demand = self._demand + speed, Demand()
-        return taken
+        collected, self._demand = self._demand + speed, Demand()
+        return collected
 
 
 class DemandWindow:
--- a/currantdeal/policy/ledger.py
+++ b/currantdeal/policy/ledger.py
@@ -9,8 +9,8 @@
 For a decode engine it counts pieces of memory, and grants a reservation only
 if they are free now.  It does not count on memory that running streams are
 expected to release: output lengths vary too much, and at 1.5 times capacity
-such booking ahead wastes a tenth of all prefills without more goodput.  Nor
-does it keep memory in reserve for streams that outgrow their reservation,
+granting it in advance wastes a tenth of all prefills without more goodput.
+Nor does it keep memory in reserve for streams that outgrow their reservation,
 because a reserve of a twentieth or a tenth lowers goodput at capacity.
 
 The number of streams is limited too, so that a batch of many small requests
@@ -290,7 +290,7 @@
         return max(prefill_s, link_s)
 
     def _grant(self, request, now_s, start_in_s):
-        self._book_prefill_and_link(request, now_s)
+        self._reserve_prefill_and_link(request, now_s)
         self._pieces_used += request.pieces
         self._stream_count += request.pieces > 0
         grant = LedgerGrant(
@@ -302,7 +302,7 @@
         self._grants[request.request_id] = grant
         return grant
 
-    def _book_prefill_and_link(self, request, now_s):
+    def _reserve_prefill_and_link(self, request, now_s):
         rate = self._limits.prefill_tokens_per_s
         if request.prefill_tokens and rate > 0:
             start_s = max(now_s, self._prefill_until_s)
--- a/currantdeal/policy/tests/builders.py
+++ b/currantdeal/policy/tests/builders.py
@@ -35,7 +35,7 @@
 
 
 def ledger_request(name, caller="c", *, pieces=10, entry="i1", **changes):
-    """Return an ``LedgerRequest`` for decode memory."""
+    """Return a ``LedgerRequest`` for decode memory."""
     return LedgerRequest(
         request_id=name, caller=caller, entry=entry, pieces=pieces, **changes
     )
--- a/currantdeal/policy/tests/test_crash_registry.py
+++ b/currantdeal/policy/tests/test_crash_registry.py
@@ -27,7 +27,7 @@
     return registry
 
 
-def test_third_crash_of_an_upstream_quarantines_the_request():
+def test_crash_of_a_third_upstream_quarantines_the_request():
     """Guards against a query of death that is retried without limit."""
     registry = _registry(poison=(1, 2))
     assert not registry.is_quarantined(POISON)
@@ -62,7 +62,7 @@
     assert not registry.is_suspect(b"other")
 
 
-def test_cleared_crash_does_not_count_again_from_another_book():
+def test_cleared_crash_does_not_count_again_from_another_registry():
     """Guards against stale records of an entry after a network partition."""
     stale = _registry(popular=(1, 2, 3))
     registry = _registry(popular=(1, 2))
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_books_converge_for_any_order_of_records(seed):
+def test_registries_converge_for_any_order_of_records(seed):
     """Guards against entries that disagree on the same request."""
     rng = random.Random(seed)
     names = [b"a", b"b", b"c"]
--- a/currantdeal/policy/tests/test_stage_plan.py
+++ b/currantdeal/policy/tests/test_stage_plan.py
@@ -89,7 +89,7 @@
         meter.record_offered()
         meter.record_prefill(3_000, 0.1 if number == 7 else 0.25)
         meter.record_completed(4_000, 3.0)
-        total += meter.take()
+        total += meter.collect()
     busy = busy_engines(total, window_s=10.0, kv_tokens=30_000)
     assert round(busy.prefill, 2) == 0.4
 
@@ -108,7 +108,7 @@
     for _ in range(90):
         meter.record_prefill(3_200, 0.11)
         meter.record_completed(3_800, 3.0)
-    demand = meter.take()
+    demand = meter.collect()
     busy = busy_engines(demand, window_s=15.0, kv_tokens=40_000)
     (change,) = plan_stages(_engines(2, 2), busy=busy)
     assert change.stage is Stage.DECODE
--- a/currantdeal/registry/tests/test_upstreams.py
+++ b/currantdeal/registry/tests/test_upstreams.py
@@ -32,7 +32,7 @@
 
 
 def test_a_restart_under_the_same_name_is_a_new_incarnation():
-    """An upstream crashes and starts restarted under its name.
+    """An upstream crashes and restarts under its name.
 
     Its sequence numbers restart, so that a comparison of the sequence alone
     would ignore it.
--- a/currantdeal/serving/disconnects.py
+++ b/currantdeal/serving/disconnects.py
@@ -48,7 +48,7 @@
     def start(self):
         """Start the thread that checks the watched calls."""
         threading.Thread(
-            target=self._run, name="hang-ups", daemon=True
+            target=self._run, name="disconnects", daemon=True
         ).start()
 
     def stop(self):
