--- a/benchmarks/experiments/overload_real.py
+++ b/benchmarks/experiments/overload_real.py
@@ -11,7 +11,7 @@
 from benchmarks.real_load import RealMeasures, offer_load, seeded_rng
 from currantdeal.core import Selector
 from currantdeal.testing.cluster import Cluster
-from currantdeal.testing.operator import OperatorClient
+from currantdeal.testing.operator import OperatorCalls
 from currantdeal.testing.shapes import ClusterShape, spread
 
 SUMMARY = "overload against real processes: 3 instances, 4 engines"
@@ -60,7 +60,7 @@
     cluster.start()
     cluster.wait_ready()
     cluster.wait_upstreams()
-    operator = OperatorClient(address=cluster.caller_addresses[0])
+    operator = OperatorCalls(address=cluster.caller_addresses[0])
     operator.apply_selector(Selector(name="everything"))
     offer_load(
         cluster.caller_addresses,
--- a/currantdeal/cli/control_process.py
+++ b/currantdeal/cli/control_process.py
@@ -56,7 +56,7 @@
 """
 
 CRASHES_FILE = "crashes"
-"""Name of the file in the data folder that holds the crash ledger."""
+"""Name of the file in the data folder that holds the crash records."""
 
 LEADER_TRANSFER_S = 0.6
 """Minimum time between the stop request and the exit, in seconds.
--- a/currantdeal/cli/loss_causes.py
+++ b/currantdeal/cli/loss_causes.py
@@ -22,7 +22,7 @@
 PREEMPTION_PAUSE_RATIO = 3.0
 """Multiple of the gap target above which a pause is a preemption.
 
-The prompt of another request, read between two events, makes a shorter pause.
+The prefill of another prompt between two events makes a shorter pause.
 """
 
 _FAILURE_STEPS = frozenset(
--- a/currantdeal/cli/request_history.py
+++ b/currantdeal/cli/request_history.py
@@ -1,7 +1,7 @@
 """Collects the log lines of all processes that explain one request.
 
 The last line of a request lists its steps: which engine reserved memory,
-which one read the prompt, which one ran the request, and what each answered.
+which one prefilled the prompt, which one ran it, and what each answered.
 The lines of the same process around that time show its view of the system.
 Files are read twice, line by line, so that memory use does not depend on
 their size.
--- a/currantdeal/cli/tests/test_whole_path.py
+++ b/currantdeal/cli/tests/test_whole_path.py
@@ -146,11 +146,11 @@
 
 
 def test_deadline_that_cannot_be_met_is_refused_at_once(cluster, caller):
-    """Guards against a prompt read in vain.
+    """Guards against a wasted prefill.
 
-    Reading the prompt takes longer than the deadline of the caller.  Without
-    an early refusal the caller would be refused only after its deadline, and
-    the engine would read the prompt for nothing.
+    The prefill takes longer than the deadline of the caller.  Without an early
+    refusal the caller would be refused only after its deadline, and the
+    prefill would be wasted.
     """
     before = cluster.stand_in("p1").client.events()
     answer = caller.complete(
--- a/currantdeal/entry/generation.py
+++ b/currantdeal/entry/generation.py
@@ -50,14 +50,14 @@
 """
 
 RESUME_WAIT_PAUSES = 8.0
-"""Longest wait for memory to resume a stream, as a multiple of its pause
+"""Longest wait for memory to resume a stream, as a multiple of its gap
 target.
 
 Callers time out a little later; the rest is for the prefill.
 """
 
 DEFAULT_GAP_TARGET_S = 0.3
-"""Pause target of a route without one."""
+"""Gap target of a route without one."""
 
 HANDLE_REUSE_SHARE = 0.7
 """Share of the lifetime of a KV cache in which another engine may be sent it.
--- a/currantdeal/testing/operator.py
+++ b/currantdeal/testing/operator.py
@@ -16,7 +16,7 @@
 UNAVAILABLE = 503
 
 
-class OperatorClient:
+class OperatorCalls:
     """Sends the changes of an operator to one instance.
 
     Parameters
--- a/currantdeal/testing/tests/scenario_world.py
+++ b/currantdeal/testing/tests/scenario_world.py
@@ -10,7 +10,7 @@
 from currantdeal.testing.caller import CallerClient
 from currantdeal.testing.cluster import Cluster
 from currantdeal.testing.engine_messages import EngineFaults
-from currantdeal.testing.operator import OperatorClient
+from currantdeal.testing.operator import OperatorCalls
 from currantdeal.testing.service import ServiceFaults
 from currantdeal.testing.shapes import ClusterShape, spread
 from currantdeal.testing.waiting import wait_until
@@ -69,7 +69,7 @@
     def operator(self, index):
         """Return an operator that sends to an instance."""
         instance = self.cluster.instance(self.names[index])
-        return OperatorClient(address=instance.address)
+        return OperatorCalls(address=instance.address)
 
     def held(self):
         """Return the memory that all running engines hold."""
